--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -51,7 +51,7 @@
         let untried: Vec<(membership::Key, &Server)> =
             usable.iter().copied().filter(|(key, _)| !state.failed.contains(key)).collect();
         let mut servers = if untried.is_empty() { usable } else { untried };
-        self.poison.keep_apart(state.arrival.fingerprint, self.running(), &mut servers);
+        self.poison.avoid_other_suspects(state.arrival.fingerprint, self.running(), &mut servers);
         let depth = self.depth(now, &state.arrival.prefix);
         let candidates: Vec<Candidate> = servers
             .iter()
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -7,7 +7,7 @@
 use crate::membership::{self, Vm};
 use crate::order::Order;
 use crate::peer::Frame;
-use crate::poison::{Answer, Victim};
+use crate::poison::{Answer, Incarnation};
 use crate::prelude::*;
 
 /// The streams on the log that the system uses.
@@ -111,7 +111,7 @@
     /// An engine did not report.
     PollFailed(membership::Key),
     /// A look was taken at the port of a server that may have ended.
-    Probed(Victim, Answer),
+    Probed(Incarnation, Answer),
     /// A frame came from a peer.
     Frame(Frame),
     /// A planned stop was asked for.
@@ -148,7 +148,7 @@
     /// Append a record to the stream of blocked requests.
     AppendBlocked(String),
     /// Look whether somebody listens where a server did that may have ended.
-    Probe(Victim, SocketAddr),
+    Probe(Incarnation, SocketAddr),
     /// Make this manifest the one that traffic uses.
     Force(Arc<manifest::Force>),
     /// Poll an engine.
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -161,7 +161,7 @@
     /// Requests that end servers.
     pub(super) poison: poison::State,
     /// Servers that may have ended under requests.
-    pub(super) watch: poison::Watch,
+    pub(super) watch: poison::Detector,
     pub(super) blocks: super::poison::Blocks,
     pub(super) vms_up: bool,
     pub(super) vms_known: bool,
@@ -208,7 +208,7 @@
             next_ask: Time::ZERO,
             checkpoint: super::platform::Checkpointing::default(),
             poison: poison::State::default(),
-            watch: poison::Watch::default(),
+            watch: poison::Detector::default(),
             blocks: super::poison::Blocks::default(),
             vms_up: true,
             vms_known: false,
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -69,7 +69,7 @@
             copies: self.recent_copies(now),
             leaving,
             draining: self.draining,
-            blocked: self.poison.unkept(now),
+            blocked: self.poison.unstored_blocks(now),
             ledger_next: self.ledger.next(),
         }
     }
@@ -166,7 +166,7 @@
             ledger_next: self.ledger.next(),
             ledger_time_ms: self.ledger.time_ms(),
             ledger: serde_json::to_string(&slots).unwrap_or_default(),
-            blocked: self.poison.blocked(now).collect(),
+            blocked: self.poison.blocks(now).collect(),
         }
     }
 
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -9,8 +9,8 @@
 use crate::membership;
 use crate::peer::Frame;
 use crate::poison::{
-    Answer, BLOCKED_FOR, Blocked, Fingerprint, Lost, Message, Probe, Record, Steps, Strike,
-    Suspect, Victim,
+    Answer, BLOCK_DURATION, Blocked, Disconnect, Endpoint, Fingerprint, Incarnation, Interruption,
+    Message, Probe, Record, Steps,
 };
 use crate::prelude::*;
 
@@ -45,7 +45,7 @@
 impl Kept {
     /// Takes over another record; whether the request was blocked anew by then, after the former block had lapsed.
     fn merge(&mut self, other: Self) -> bool {
-        let is_anew = log_age(other.since_ms, self.since_ms) >= BLOCKED_FOR;
+        let is_anew = log_age(other.since_ms, self.since_ms) >= BLOCK_DURATION;
         let first_ms = other.since_ms.min(self.since_ms);
         self.since_ms = if is_anew { other.since_ms } else { first_ms };
         self.written_ms = other.written_ms.max(self.written_ms);
@@ -65,9 +65,9 @@
 
 impl Node {
     /// A server's present life, as all daemons name it.
-    pub(super) fn victim(&self, server: membership::Key) -> Option<Victim> {
+    pub(super) fn victim(&self, server: membership::Key) -> Option<Incarnation> {
         let server = self.membership.get(server)?;
-        Some(Victim::of(&server.vm.id, server.incarnation.as_deref()))
+        Some(Incarnation::of(&server.vm.id, server.incarnation.as_deref()))
     }
 
     /// Takes over that a connection broke on which a request ran. A server that leaves ends by plan.
@@ -86,26 +86,27 @@
             return;
         }
         let pool = state.vm.pool.as_str();
-        let suspect = Suspect {
-            victim,
+        let suspect = Endpoint {
+            incarnation: victim,
             address: state.vm.address,
             pool: xxh3_64(pool.as_bytes()),
             servers: self.membership.pool(pool).count() as u32,
         };
-        let steps = self.watch.lost(now, suspect, Lost { fingerprint, ran });
+        let steps =
+            self.watch.record_disconnect(now, suspect, Disconnect { fingerprint, run_time: ran });
         self.take_steps(now, steps);
     }
 
     /// Takes over what a look at a server's port found.
-    pub(super) fn probed(&mut self, now: Time, victim: Victim, answer: Answer) {
-        let steps = self.watch.answered(now, victim, answer);
+    pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
+        let steps = self.watch.record_probe(now, victim, answer);
         self.take_steps(now, steps);
     }
 
     /// Takes over that a life of a server has ended.
-    pub(super) fn has_ended(&mut self, now: Time, victim: Option<Victim>) {
+    pub(super) fn has_ended(&mut self, now: Time, victim: Option<Incarnation>) {
         if let Some(victim) = victim {
-            let steps = self.watch.ended(now, victim);
+            let steps = self.watch.record_crash(now, victim);
             self.take_steps(now, steps);
         }
     }
@@ -113,22 +114,24 @@
     /// Takes over that a server answered.
     pub(super) fn lives(&mut self, now: Time, server: membership::Key) {
         if let Some(victim) = self.victim(server).filter(|_| !self.watch.is_idle()) {
-            self.watch.heard(now, victim);
+            self.watch.record_response(now, victim);
         }
     }
 
     fn take_steps(&mut self, now: Time, steps: Steps) {
         let probes = steps.probes.into_iter();
-        self.effects.extend(probes.map(|Probe { victim, address }| Effect::Probe(victim, address)));
-        if steps.strikes.is_empty() {
+        self.effects.extend(
+            probes.map(|Probe { incarnation: victim, address }| Effect::Probe(victim, address)),
+        );
+        if steps.interruptions.is_empty() {
             return;
         }
-        let present = steps.strikes.iter().map(|strike| strike.fingerprint.to_string());
+        let present = steps.interruptions.iter().map(|strike| strike.fingerprint.to_string());
         let present = present.collect::<Vec<String>>().join(" ");
-        let detail = Detail::of("requests", steps.strikes.len()).and("fingerprints", present);
+        let detail = Detail::of("requests", steps.interruptions.len()).and("fingerprints", present);
         self.event(Event::ServerEnded, detail);
-        self.tell_peers(&Message::Strikes(steps.strikes.clone()));
-        self.strike(now, steps.strikes);
+        self.tell_peers(&Message::Interruptions(steps.interruptions.clone()));
+        self.strike(now, steps.interruptions);
     }
 
     fn tell_peers(&mut self, message: &Message) {
@@ -142,18 +145,18 @@
     /// Takes over a peer's word.
     pub(super) fn poison_came(&mut self, now: Time, message: Message) {
         match message {
-            Message::Strikes(strikes) => self.strike(now, strikes),
+            Message::Interruptions(strikes) => self.strike(now, strikes),
             Message::Served(fingerprint) => {
-                let blocked = self.poison.served(now, fingerprint);
+                let blocked = self.poison.clear_suspect(now, fingerprint);
                 self.announce(now, blocked.unwrap_or_default());
             }
             Message::Blocked(blocked) => self.hear_blocked(now, &blocked),
         }
     }
 
-    fn strike(&mut self, now: Time, strikes: Vec<Strike>) {
-        let struck = |strike: &Strike| self.poison.strike(now, *strike);
-        let blocked: Vec<Strike> = strikes.into_iter().filter(struck).collect();
+    fn strike(&mut self, now: Time, strikes: Vec<Interruption>) {
+        let struck = |strike: &Interruption| self.poison.record_interruption(now, *strike);
+        let blocked: Vec<Interruption> = strikes.into_iter().filter(struck).collect();
         self.announce(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
     }
 
@@ -173,7 +176,7 @@
     /// Takes over what peers say is blocked.
     pub(super) fn hear_blocked(&mut self, now: Time, blocked: &[Blocked]) {
         for told in blocked {
-            if self.poison.hear(now, *told) {
+            if self.poison.merge_block(now, *told) {
                 self.blocked(now, told.fingerprint);
             }
         }
@@ -206,7 +209,8 @@
     /// Whether a request whose attempt has just broken may be what ends servers, with what is not yet sure.
     pub(super) fn may_end_servers(&self, now: Time, request: attempt::Key) -> bool {
         let Some(fingerprint) = self.fingerprint(request) else { return false };
-        self.poison.is_suspect(fingerprint, self.watch.doubted(now, fingerprint))
+        self.poison
+            .reaches_block_threshold(fingerprint, self.watch.possible_crashes(now, fingerprint))
     }
 
     fn fingerprint(&self, request: attempt::Key) -> Option<Fingerprint> {
@@ -216,7 +220,7 @@
     /// Takes over that a request was answered.
     pub(super) fn was_served(&mut self, now: Time, request: attempt::Key) {
         let Some(fingerprint) = self.fingerprint(request) else { return };
-        if let Some(blocked) = self.poison.served(now, fingerprint) {
+        if let Some(blocked) = self.poison.clear_suspect(now, fingerprint) {
             self.tell_peers(&Message::Served(fingerprint));
             self.announce(now, blocked);
         }
@@ -243,10 +247,10 @@
             let kept = self.blocks.kept.entry(fingerprint).or_insert(told);
             // Else the former block's age would end it.
             if kept.merge(told) {
-                self.poison.forget_block(fingerprint);
+                self.poison.remove_block(fingerprint);
             }
             let age = log_age(self.checkpoint.log_ms(now), kept.since_ms);
-            if self.poison.kept(now, Blocked { fingerprint, age }) {
+            if self.poison.add_stored_block(now, Blocked { fingerprint, age }) {
                 self.blocked(now, fingerprint);
             }
         }
@@ -262,12 +266,12 @@
     /// Looks at servers in doubt, has blocks written, and forgets what is too old. The first live daemon
     /// writes, and again before the log forgets; two that both believe to be first do no harm.
     pub(super) fn look_at_poison(&mut self, now: Time) {
-        for Probe { victim, address } in self.watch.due(now) {
+        for Probe { incarnation: victim, address } in self.watch.due_probes(now) {
             self.effects.push(Effect::Probe(victim, address));
         }
         let first = self.is_first(now);
         if first {
-            let due = self.poison.to_write(now, WRITE_AGAIN);
+            let due = self.poison.due_writes(now, WRITE_AGAIN);
             self.append_blocked(&due, &[]);
         }
         if now < self.blocks.next_look {
@@ -298,7 +302,7 @@
             let kept = self.blocks.kept.get(&block.fingerprint);
             kept.is_some_and(|kept| log_age(log_ms, kept.written_ms) >= renewal)
         };
-        let old: Vec<Blocked> = self.poison.blocked(now).filter(is_old).collect();
+        let old: Vec<Blocked> = self.poison.blocks(now).filter(is_old).collect();
         if !old.is_empty() {
             self.blocks.renewed = Some(now);
             self.append_blocked(&old, &[]);
@@ -312,7 +316,7 @@
         let log_ms = self.checkpoint.log_ms(now);
         for (fingerprint, kept) in &self.blocks.kept {
             let age = log_age(log_ms, kept.since_ms);
-            self.poison.hear(now, Blocked { fingerprint: *fingerprint, age });
+            self.poison.merge_block(now, Blocked { fingerprint: *fingerprint, age });
         }
     }
 
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -161,7 +161,7 @@
             peers: self.fresh_peers(now).map(|digest| digest.daemon.clone()).collect(),
             servers: servers.collect(),
             waiting: waiting.collect(),
-            requests_blocked: self.poison.blocked(now).count(),
+            requests_blocked: self.poison.blocks(now).count(),
             open: self.requests.len(),
             counts: self.counts,
         }
--- a/src/daemon/carrier.rs
+++ b/src/daemon/carrier.rs
@@ -10,7 +10,7 @@
 use crate::membership;
 use crate::order::Order;
 use crate::peer::{Frame, Links};
-use crate::poison::Victim;
+use crate::poison::Incarnation;
 use crate::prelude::*;
 use crate::relay;
 use crate::telemetry::emit;
@@ -89,7 +89,7 @@
         self.executor.spawn(append).detach();
     }
 
-    fn probe(&self, victim: Victim, address: SocketAddr) {
+    fn probe(&self, victim: Incarnation, address: SocketAddr) {
         let control = self.control.clone();
         let probe = async move {
             let answer = relay::probe(address).await;
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -65,8 +65,8 @@
             Figure::new("submitted", self.counts.submitted),
             Figure::new("unscheduled", self.counts.unscheduled),
             Figure::new("records_unreadable", self.counts.unreadable),
-            Figure::new("requests_blocked", self.poison.blocked(now).count() as u64),
-            Figure::new("blocks_unwritten", self.poison.unkept(now).len() as u64),
+            Figure::new("requests_blocked", self.poison.blocks(now).count() as u64),
+            Figure::new("blocks_unwritten", self.poison.unstored_blocks(now).len() as u64),
         ];
         figures.extend(
             self.counts.rows().map(|(outcome, n)| Figure::of("attempts", "outcome", outcome, n)),
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -305,7 +305,7 @@
 
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
-        let (blocked, blocked_ages_ms) = poison::from_blocked(&digest.blocked);
+        let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
         let busy = digest.busy.into_iter().map(wire::Busy::from);
         let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
             server: life.id,
@@ -379,7 +379,7 @@
             heat: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
             refused: digest.refused.into_iter().map(Fingerprint).collect(),
             link_moved: digest.link_moved,
-            blocked: poison::to_blocked(digest.blocked, digest.blocked_ages_ms),
+            blocked: poison::blocks_from_wire(digest.blocked, digest.blocked_ages_ms),
             sent: Duration::from_millis(digest.sent_ms),
             named: digest.named.into_iter().map(Naming::from).collect(),
             missed_nothing_for: age(digest.missed_nothing_for),
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -189,7 +189,7 @@
             heat: Vec::new(),
             refused: self.expected.own(),
             link_moved: self.link.moved(),
-            blocked: self.poison.unkept(now),
+            blocked: self.poison.unstored_blocks(now),
             sent: now,
             named: self.rollout.seen_named.told(now, self.policy.weights_limit),
             missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{Batch, Entry, EventsRead, Frame, Place, Prompt, Topic, server};
-use crate::poison::{Answer, Blocked, Fingerprint, Victim};
+use crate::poison::{Answer, Blocked, Fingerprint, Incarnation};
 use crate::prelude::*;
 use crate::route::{Route, Table, Workspace};
 
@@ -247,7 +247,7 @@
     /// Events of what keeps parts were read, or could not be.
     Events(Place, Option<EventsRead>),
     /// A look was taken at the port of a server that may have ended.
-    Probed(Victim, Answer),
+    Probed(Incarnation, Answer),
     /// A frame came from a peer.
     Frame(Frame),
     /// A planned stop was asked for.
@@ -294,7 +294,7 @@
         since: u64,
     },
     /// Look whether somebody listens where a server did that may have ended.
-    Probe(Victim, SocketAddr),
+    Probe(Incarnation, SocketAddr),
     /// Have the platform's store keep that a request has been blocked for so long, or no longer is.
     WriteBlock(Fingerprint, Option<Duration>),
     /// Give up idle connections to this address: who listened there has ended.
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -100,7 +100,7 @@
     /// Requests that end servers.
     pub(super) poison: poison::State,
     /// Servers that may have ended under requests.
-    pub(super) watch: poison::Watch,
+    pub(super) watch: poison::Detector,
     pub(super) next_poison_look: Time,
     /// Work by shared part.
     pub(super) heat: Heat,
@@ -165,7 +165,7 @@
             quota: quota::State::new(policy.quota),
             keeping: Keeping::default(),
             poison: poison::State::default(),
-            watch: poison::Watch::default(),
+            watch: poison::Detector::default(),
             next_poison_look: Time::ZERO,
             heat: Heat::default(),
             kept: Kept::default(),
@@ -238,7 +238,7 @@
             || !self.asked.is_empty()
             || !self.keeping.undecided.is_empty()
             || self.rollout.is_active()
-            || self.watch.is_pressed()
+            || self.watch.has_probe_due()
     }
 
     /// The offset from which the lease is to be read next.
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -8,7 +8,8 @@
 use super::request::{Phase, Request};
 use super::{Command, Effect, Frame, Key, Node, Server, server};
 use crate::poison::{
-    Answer, Blocked, Fingerprint, Lost, Message, Probe, Steps, Strike, Suspect, Victim,
+    Answer, Blocked, Disconnect, Endpoint, Fingerprint, Incarnation, Interruption, Message, Probe,
+    Steps,
 };
 use crate::prelude::*;
 
@@ -23,9 +24,9 @@
 
 impl Server {
     /// Its present life, as all daemons name it.
-    fn victim(&self) -> Victim {
+    fn victim(&self) -> Incarnation {
         let life = &self.entry.life;
-        Victim::of(&life.id, Some(&life.born.to_string()))
+        Incarnation::of(&life.id, Some(&life.born.to_string()))
     }
 }
 
@@ -38,26 +39,27 @@
             return;
         }
         let pool = server.entry.pool.as_str();
-        let suspect = Suspect {
-            victim: server.victim(),
+        let suspect = Endpoint {
+            incarnation: server.victim(),
             address: server.entry.address,
             pool: xxh3_64(pool.as_bytes()),
             servers: self.pools.get(pool).map_or(0, |keys| keys.len() as u32),
         };
-        let steps = self.watch.lost(now, suspect, Lost { fingerprint, ran });
+        let steps =
+            self.watch.record_disconnect(now, suspect, Disconnect { fingerprint, run_time: ran });
         self.take_steps(now, steps);
     }
 
     /// Takes over what a look at a server's port found.
-    pub(super) fn probed(&mut self, now: Time, victim: Victim, answer: Answer) {
-        let steps = self.watch.answered(now, victim, answer);
+    pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
+        let steps = self.watch.record_probe(now, victim, answer);
         self.take_steps(now, steps);
     }
 
     /// Takes over that a server's registration is gone, or that it has started again.
     pub(super) fn registration_ended(&mut self, now: Time, server: &Server) {
         if !server.entry.leaving {
-            let steps = self.watch.ended(now, server.victim());
+            let steps = self.watch.record_crash(now, server.victim());
             self.take_steps(now, steps);
         }
     }
@@ -65,20 +67,20 @@
     /// Takes over that a server answered.
     pub(super) fn lives(&mut self, now: Time, server: server::Key) {
         if let Some(server) = self.servers.get(server).filter(|_| !self.watch.is_idle()) {
-            self.watch.heard(now, server.victim());
+            self.watch.record_response(now, server.victim());
         }
     }
 
     fn take_steps(&mut self, now: Time, steps: Steps) {
-        for Probe { victim, address } in steps.probes {
+        for Probe { incarnation: victim, address } in steps.probes {
             self.effects.push(Effect::Probe(victim, address));
         }
-        if steps.strikes.is_empty() {
+        if steps.interruptions.is_empty() {
             return;
         }
-        let present = steps.strikes.iter().map(|strike| strike.fingerprint.to_string());
-        let detail = Detail::of("server", self.server_of(steps.strikes[0].victim))
-            .and("requests", steps.strikes.len())
+        let present = steps.interruptions.iter().map(|strike| strike.fingerprint.to_string());
+        let detail = Detail::of("server", self.server_of(steps.interruptions[0].incarnation))
+            .and("requests", steps.interruptions.len())
             .and("fingerprints", present.collect::<Vec<String>>().join(" "));
         self.event(Event::ServerEnded, detail);
         let mut addresses = self.scheduler_addresses(now);
@@ -87,11 +89,11 @@
             self.rng.shuffle(&mut addresses);
             addresses.truncate(TOLD_PEERS);
         }
-        self.tell_of_poison(addresses, Message::Strikes(steps.strikes.clone()));
-        self.strike(now, steps.strikes);
+        self.tell_of_poison(addresses, Message::Interruptions(steps.interruptions.clone()));
+        self.strike(now, steps.interruptions);
     }
 
-    fn server_of(&self, victim: Victim) -> String {
+    fn server_of(&self, victim: Incarnation) -> String {
         let known = self.servers.values().find(|server| server.victim() == victim);
         known.map_or_else(String::new, |server| server.entry.life.id.clone())
     }
@@ -105,18 +107,18 @@
     /// Takes over a peer's word.
     pub(super) fn poison_came(&mut self, now: Time, message: Message) {
         match message {
-            Message::Strikes(strikes) => self.strike(now, strikes),
+            Message::Interruptions(strikes) => self.strike(now, strikes),
             Message::Served(fingerprint) => {
-                let blocked = self.poison.served(now, fingerprint);
+                let blocked = self.poison.clear_suspect(now, fingerprint);
                 self.announce(now, blocked.unwrap_or_default());
             }
             Message::Blocked(blocked) => self.hear_blocked(now, &blocked),
         }
     }
 
-    fn strike(&mut self, now: Time, strikes: Vec<Strike>) {
-        let struck = |strike: &Strike| self.poison.strike(now, *strike);
-        let blocked: Vec<Strike> = strikes.into_iter().filter(struck).collect();
+    fn strike(&mut self, now: Time, strikes: Vec<Interruption>) {
+        let struck = |strike: &Interruption| self.poison.record_interruption(now, *strike);
+        let blocked: Vec<Interruption> = strikes.into_iter().filter(struck).collect();
         self.announce(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
     }
 
@@ -137,7 +139,7 @@
     /// Takes over what peers say is blocked.
     pub(super) fn hear_blocked(&mut self, now: Time, blocked: &[Blocked]) {
         for told in blocked {
-            if self.poison.hear(now, *told) {
+            if self.poison.merge_block(now, *told) {
                 self.blocked(now, told.fingerprint);
             }
         }
@@ -159,7 +161,7 @@
     /// Refuses a request that is blocked, or gives it up where it may have run.
     pub(super) fn refuse_blocked(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
-        let after = self.poison.left(now, request.arrival.fingerprint);
+        let after = self.poison.block_remaining(now, request.arrival.fingerprint);
         let command = match request.runs {
             0 => Command::Refuse(Code::RequestBlocked, after),
             _ => Command::GiveUp,
@@ -177,7 +179,8 @@
     /// Whether a request that has just been lost may be what ends servers, with what is not yet sure.
     pub(super) fn may_end_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
-        self.poison.is_suspect(fingerprint, self.watch.doubted(now, fingerprint))
+        self.poison
+            .reaches_block_threshold(fingerprint, self.watch.possible_crashes(now, fingerprint))
     }
 
     fn fingerprint(&self, key: Key) -> Option<Fingerprint> {
@@ -187,7 +190,7 @@
     /// Takes over that a request was answered.
     pub(super) fn was_served(&mut self, now: Time, key: Key) {
         let Some(fingerprint) = self.fingerprint(key) else { return };
-        if let Some(blocked) = self.poison.served(now, fingerprint) {
+        if let Some(blocked) = self.poison.clear_suspect(now, fingerprint) {
             let addresses = self.scheduler_addresses(now);
             self.tell_of_poison(addresses, Message::Served(fingerprint));
             self.announce(now, blocked);
@@ -211,12 +214,12 @@
 
     /// Looks at servers in doubt, has blocks written, and forgets what is too old.
     pub(super) fn look_at_poison(&mut self, now: Time) {
-        for Probe { victim, address } in self.watch.due(now) {
+        for Probe { incarnation: victim, address } in self.watch.due_probes(now) {
             self.effects.push(Effect::Probe(victim, address));
         }
         if self.is_scheduler(now) {
             let turn = WRITE_IN_TURN * self.rank_among_daemons();
-            let due = self.poison.to_write(now.saturating_sub(turn), WRITE_AGAIN);
+            let due = self.poison.due_writes(now.saturating_sub(turn), WRITE_AGAIN);
             let due =
                 due.into_iter().map(|block| Effect::WriteBlock(block.fingerprint, Some(block.age)));
             self.effects.extend(due);
@@ -235,7 +238,7 @@
 
     /// Takes over that the platform's store keeps a block.
     pub(super) fn block_kept(&mut self, now: Time, told: Blocked) {
-        if self.poison.kept(now, told) {
+        if self.poison.add_stored_block(now, told) {
             self.blocked(now, told.fingerprint);
         }
     }
@@ -249,9 +252,9 @@
 
     /// Gives daemons that have come to schedule what is known of ends so far.
     pub(super) fn hand_strikes(&mut self, now: Time, newcomers: Vec<SocketAddr>) {
-        let strikes = self.poison.strikes(now);
+        let strikes = self.poison.interruptions(now);
         if !strikes.is_empty() {
-            self.tell_of_poison(newcomers, Message::Strikes(strikes));
+            self.tell_of_poison(newcomers, Message::Interruptions(strikes));
         }
     }
 }
--- a/src/fleet/tests/beliefs/faults.rs
+++ b/src/fleet/tests/beliefs/faults.rs
@@ -188,15 +188,15 @@
         };
         let Some(vm) = (0..self.vms.len()).find(schedules) else { return };
         let fingerprint = Fingerprint(1_000 + self.sent);
-        let strikes = (1..=3).map(|server| Strike {
+        let strikes = (1..=3).map(|server| Interruption {
             fingerprint,
-            victim: Victim { server: self.sent * 10 + server, start: Some(1) },
+            incarnation: Incarnation { server: self.sent * 10 + server, start: Some(1) },
             pool: 1,
             servers: 100,
-            ran: ms(50),
+            run_time: ms(50),
             age: ms(0),
         });
-        let message = crate::poison::Message::Strikes(strikes.collect());
+        let message = crate::poison::Message::Interruptions(strikes.collect());
         let by = (vm, self.vms[vm].incarnation);
         let block = Block { made_at: self.now, by, kept_at: None, gone_at: None };
         self.blocks.insert(fingerprint.0, block);
--- a/src/fleet/tests/beliefs/mod.rs
+++ b/src/fleet/tests/beliefs/mod.rs
@@ -10,7 +10,7 @@
 use super::store::{Access, Store, Watch};
 use super::world::*;
 use crate::fleet::*;
-use crate::poison::{Answer, Fingerprint, Strike, Victim};
+use crate::poison::{Answer, Fingerprint, Incarnation, Interruption};
 use crate::prelude::*;
 use crate::route::Repeat;
 
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -64,12 +64,12 @@
         Frame::AskHeld("router-2".into(), Keeper::Store(([10, 0, 0, 9], 80).into())),
         Frame::Records(Batch { topic: Topic::Servers, from: 1, to: 3, records: records.clone() }),
         Frame::Snapshot(Batch { topic: Topic::Operator, from: 0, to: 3, records }),
-        Frame::Poison(poison::Message::Strikes(vec![poison::Strike {
+        Frame::Poison(poison::Message::Interruptions(vec![poison::Interruption {
             fingerprint: Fingerprint(u64::MAX),
-            victim: poison::Victim::of("server-1", None),
+            incarnation: poison::Incarnation::of("server-1", None),
             pool: 8,
             servers: 18,
-            ran: Duration::from_millis(140),
+            run_time: Duration::from_millis(140),
             age: Duration::from_millis(70),
         }])),
         Frame::Poison(poison::Message::Served(Fingerprint(0))),
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -233,7 +233,7 @@
 
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
-        let (blocked, blocked_ages_ms) = poison::from_blocked(&digest.blocked);
+        let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
         let busy = digest.busy.into_iter().map(|(server, busy)| wire::Busy {
             server,
             requests: busy.requests,
@@ -284,7 +284,7 @@
             leaving: digest.leaving,
             draining: digest.draining,
             copies: digest.copies.into_iter().map(Copy::from).collect(),
-            blocked: poison::to_blocked(digest.blocked, digest.blocked_ages_ms),
+            blocked: poison::blocks_from_wire(digest.blocked, digest.blocked_ages_ms),
             ledger_next: digest.ledger_next,
         })
     }
@@ -292,7 +292,7 @@
 
 impl From<Snapshot> for wire::Snapshot {
     fn from(snapshot: Snapshot) -> Self {
-        let (blocked, blocked_ages_ms) = poison::from_blocked(&snapshot.blocked);
+        let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&snapshot.blocked);
         Self {
             manifest_next: snapshot.manifest_next,
             generation: snapshot.generation,
@@ -317,7 +317,7 @@
             ledger_next: wire.ledger_next,
             ledger_time_ms: wire.ledger_time_ms,
             ledger: wire.ledger,
-            blocked: poison::to_blocked(wire.blocked, wire.blocked_ages_ms),
+            blocked: poison::blocks_from_wire(wire.blocked, wire.blocked_ages_ms),
         }
     }
 }
--- a/src/poison/message.rs
+++ b/src/poison/message.rs
@@ -1,21 +1,21 @@
 //! What daemons tell each other about requests that may end servers.
 
-use super::{Fingerprint, Victim};
+use super::{Fingerprint, Incarnation};
 use crate::prelude::*;
 
 /// A request was running at a server when that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Strike {
+pub struct Interruption {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The server.
-    pub victim: Victim,
+    pub incarnation: Incarnation,
     /// Hash of the server's pool.
     pub pool: u64,
     /// Servers of that pool.
     pub servers: u32,
     /// For how long the request had been there.
-    pub ran: Duration,
+    pub run_time: Duration,
     /// How long ago the server ended.
     pub age: Duration,
 }
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// Servers ended under these.
-    Strikes(Vec<Strike>),
+    Interruptions(Vec<Interruption>),
     /// This one was answered: it ends no servers.
     Served(Fingerprint),
     /// These are blocked.
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -51,16 +51,16 @@
     /// What a record says is blocked, and is no longer; `None` where this release can't read it.
     pub fn decode(text: &str) -> Option<(Vec<Blocked>, Vec<Fingerprint>)> {
         let record: Self = serde_json::from_str(text).ok()?;
-        let read = |texts: &[String]| -> Option<Vec<Fingerprint>> {
+        let parse = |texts: &[String]| -> Option<Vec<Fingerprint>> {
             texts.iter().map(|text| text.parse().ok()).collect()
         };
         if record.format != FORMAT {
             return None;
         }
         let ages = record.ages_s.iter().copied().chain(std::iter::repeat(0));
-        let blocked = read(&record.blocked)?.into_iter().zip(ages);
+        let blocked = parse(&record.blocked)?.into_iter().zip(ages);
         let blocked = blocked
             .map(|(fingerprint, age_s)| Blocked { fingerprint, age: Duration::from_secs(age_s) });
-        Some((blocked.collect(), read(&record.lifted)?))
+        Some((blocked.collect(), parse(&record.lifted)?))
     }
 }
--- a/src/poison/wire.rs
+++ b/src/poison/wire.rs
@@ -1,10 +1,10 @@
 //! The form of daemons' word on the wire.
 
-use super::{Fingerprint, Strike as Struck, Victim};
+use super::{Fingerprint, Incarnation, Interruption};
 use crate::prelude::*;
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Strike {
+struct WireInterruption {
     #[prost(fixed64, tag = "1")]
     fingerprint: u64,
     #[prost(fixed64, tag = "2")]
@@ -19,10 +19,10 @@
     #[prost(uint32, tag = "6")]
     servers: u32,
     #[prost(uint32, tag = "7")]
-    ran_ms: u32,
+    run_time_ms: u32,
 }
 
-fn ms(time: Duration) -> u32 {
+fn millis_u32(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
@@ -30,7 +30,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
     #[prost(message, repeated, tag = "1")]
-    strikes: Vec<Strike>,
+    interruptions: Vec<WireInterruption>,
     #[prost(fixed64, optional, tag = "2")]
     served: Option<u64>,
     #[prost(fixed64, repeated, tag = "3")]
@@ -40,12 +40,12 @@
 }
 
 /// Blocked requests, and for how long they have been, as two lists.
-pub(crate) fn from_blocked(blocked: &[super::Blocked]) -> (Vec<u64>, Vec<u32>) {
-    blocked.iter().map(|block| (block.fingerprint.0, ms(block.age))).unzip()
+pub(crate) fn blocks_to_wire(blocked: &[super::Blocked]) -> (Vec<u64>, Vec<u32>) {
+    blocked.iter().map(|block| (block.fingerprint.0, millis_u32(block.age))).unzip()
 }
 
 /// Blocked requests from two such lists; one that no age is told of has just been blocked.
-pub(crate) fn to_blocked(fingerprints: Vec<u64>, ages_ms: Vec<u32>) -> Vec<super::Blocked> {
+pub(crate) fn blocks_from_wire(fingerprints: Vec<u64>, ages_ms: Vec<u32>) -> Vec<super::Blocked> {
     let ages = ages_ms.into_iter().chain(std::iter::repeat(0));
     let blocked = fingerprints.into_iter().zip(ages);
     let blocked = blocked.map(|(fingerprint, age_ms)| super::Blocked {
@@ -58,14 +58,15 @@
 impl From<super::Message> for Message {
     fn from(message: super::Message) -> Self {
         match message {
-            super::Message::Strikes(strikes) => {
-                Self { strikes: strikes.into_iter().map(Strike::from).collect(), ..Self::default() }
-            }
+            super::Message::Interruptions(interruptions) => Self {
+                interruptions: interruptions.into_iter().map(WireInterruption::from).collect(),
+                ..Self::default()
+            },
             super::Message::Served(fingerprint) => {
                 Self { served: Some(fingerprint.0), ..Self::default() }
             }
             super::Message::Blocked(blocked) => {
-                let (blocked, blocked_ages_ms) = from_blocked(&blocked);
+                let (blocked, blocked_ages_ms) = blocks_to_wire(&blocked);
                 Self { blocked, blocked_ages_ms, ..Self::default() }
             }
         }
@@ -77,36 +78,36 @@
         if let Some(served) = wire.served {
             return Self::Served(Fingerprint(served));
         }
-        if wire.strikes.is_empty() {
-            return Self::Blocked(to_blocked(wire.blocked, wire.blocked_ages_ms));
+        if wire.interruptions.is_empty() {
+            return Self::Blocked(blocks_from_wire(wire.blocked, wire.blocked_ages_ms));
         }
-        Self::Strikes(wire.strikes.into_iter().map(Struck::from).collect())
+        Self::Interruptions(wire.interruptions.into_iter().map(Interruption::from).collect())
     }
 }
 
-impl From<Struck> for Strike {
-    fn from(strike: Struck) -> Self {
+impl From<Interruption> for WireInterruption {
+    fn from(interruption: Interruption) -> Self {
         Self {
-            fingerprint: strike.fingerprint.0,
-            server: strike.victim.server,
-            start: strike.victim.start.unwrap_or(0),
-            age_ms: ms(strike.age),
-            pool: strike.pool,
-            servers: strike.servers,
-            ran_ms: ms(strike.ran),
+            fingerprint: interruption.fingerprint.0,
+            server: interruption.incarnation.server,
+            start: interruption.incarnation.start.unwrap_or(0),
+            age_ms: millis_u32(interruption.age),
+            pool: interruption.pool,
+            servers: interruption.servers,
+            run_time_ms: millis_u32(interruption.run_time),
         }
     }
 }
 
-impl From<Strike> for Struck {
-    fn from(wire: Strike) -> Self {
+impl From<WireInterruption> for Interruption {
+    fn from(wire: WireInterruption) -> Self {
         let start = Some(wire.start).filter(|start| *start != 0);
         Self {
             fingerprint: Fingerprint(wire.fingerprint),
-            victim: Victim { server: wire.server, start },
+            incarnation: Incarnation { server: wire.server, start },
             pool: wire.pool,
             servers: wire.servers,
-            ran: Duration::from_millis(u64::from(wire.ran_ms)),
+            run_time: Duration::from_millis(u64::from(wire.run_time_ms)),
             age: Duration::from_millis(u64::from(wire.age_ms)),
         }
     }
