--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -7,7 +7,7 @@
 
 /// The pace at which waiting requests of one pool are sent.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Drain {
+pub(super) struct Throughput {
     /// Requests a second, at time `at`.
     per_s: f64,
     at: Time,
@@ -15,19 +15,19 @@
     waiting_since: Option<Time>,
 }
 
-impl Drain {
+impl Throughput {
     /// Notes that a request begins to wait.
-    pub(super) fn waits(&mut self, now: Time) {
+    pub(super) fn note_waiting(&mut self, now: Time) {
         self.waiting_since.get_or_insert(now);
     }
 
     /// Notes that nothing has waited until now.
-    pub(super) fn begin_anew(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.waiting_since = None;
     }
 
     /// Notes that a waiting request was sent.
-    pub(super) fn sent(&mut self, now: Time) {
+    pub(super) fn note_sent(&mut self, now: Time) {
         let gain = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         self.per_s = self.per_s(now) + gain;
         self.at = now;
@@ -40,7 +40,7 @@
 
     /// How long a request is expected to wait behind `ahead` others; `None` while some have not waited
     /// long enough to tell.
-    pub(super) fn expected(&self, now: Time, ahead: usize) -> Option<Duration> {
+    pub(super) fn expected_wait(&self, now: Time, ahead: usize) -> Option<Duration> {
         let since = self.waiting_since?;
         if now < since + HALF_LIFE / 2 {
             return None;
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -270,7 +270,7 @@
                 self.saw_weights(now, key, model, *version);
             }
         }
-        self.expected.hear(now, &digest.refused);
+        self.expected.merge_peer(now, &digest.refused);
         self.hear_blocked(now, &digest.blocked);
         self.hear_used(now, &digest);
         // What others moved is taken off what is free by now, not off what was free at the last send.
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -16,9 +16,9 @@
 const ANSWER_TOKEN_MS: f64 = 0.5;
 /// Milliseconds of work a second that one copy of a part is to carry: a fifth of an engine, so that
 /// those who carry several hot parts still have room.
-const COPY_CARRIES_MS: f64 = 200.0;
+const COPY_LOAD_MS_PER_S: f64 = 200.0;
 /// Servers after the homes of a part that stand in, in this order, where a home can't be used.
-const STAND_INS: usize = 2;
+const MAX_FALLBACKS: usize = 2;
 
 /// What a server is to the shared parts of one prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// It is a home of theirs.
     Home,
     /// It stands in for a home that can't be used now.
-    StandIn,
+    Fallback,
     /// Any other.
     Other,
 }
@@ -39,7 +39,7 @@
     /// How many of them are homes.
     count: usize,
     /// How many of those that stand in are needed now.
-    standing_in: usize,
+    fallbacks: usize,
 }
 
 impl Homes {
@@ -51,7 +51,7 @@
     pub(super) fn role(&self, server: server::Key) -> Role {
         match self.rank(server) {
             Some(rank) if rank < self.count => Role::Home,
-            Some(rank) if rank < self.count + self.standing_in => Role::StandIn,
+            Some(rank) if rank < self.count + self.fallbacks => Role::Fallback,
             _ => Role::Other,
         }
     }
@@ -76,22 +76,23 @@
             ranked.sort_by_cached_key(|(_, server)| {
                 std::cmp::Reverse(xxh3_64_with_seed(server.entry.life.id.as_bytes(), part))
             });
-            let count = copies(self.work_ms(now, part), servers);
+            let count = copy_count(self.load_ms_per_s(now, part), servers);
             ranked.truncate(spare(count));
             count
         };
         for part in earlier {
-            narrow(part.id, |count| count.max(1 + STAND_INS));
+            narrow(part.id, |count| count.max(1 + MAX_FALLBACKS));
         }
-        let count = narrow(last.id, |count| count + STAND_INS).min(ranked.len());
+        let count = narrow(last.id, |count| count + MAX_FALLBACKS).min(ranked.len());
         let homes = &ranked[..count];
-        let shut = homes.iter().filter(|(key, server)| !self.is_open(now, *key, server)).count();
-        Homes { ranked: ranked.into_iter().map(|(key, _)| key).collect(), count, standing_in: shut }
+        let shut =
+            homes.iter().filter(|(key, server)| !self.accepts_work(now, *key, server)).count();
+        Homes { ranked: ranked.into_iter().map(|(key, _)| key).collect(), count, fallbacks: shut }
     }
 
     /// Milliseconds of work a second that all daemons have for a part: this one's, and the hottest of
     /// each peer's.
-    fn work_ms(&self, now: Time, part: u64) -> f64 {
+    fn load_ms_per_s(&self, now: Time, part: u64) -> f64 {
         self.heat.rate(now, prefix::Key(part)) + self.told_heat(now, part)
     }
 
@@ -107,8 +108,8 @@
 /// How many of `servers` are to hold a part. A power of two, or all where that is more than half of
 /// them: daemons measure a part's work each for themselves, and homes on which they disagree are read
 /// at twice.
-fn copies(work_ms: f64, servers: usize) -> usize {
-    let wanted = (work_ms / COPY_CARRIES_MS).ceil().clamp(1.0, 1e6) as usize;
+fn copy_count(work_ms: f64, servers: usize) -> usize {
+    let wanted = (work_ms / COPY_LOAD_MS_PER_S).ceil().clamp(1.0, 1e6) as usize;
     let copies = wanted.next_power_of_two();
     if copies * 2 > servers { servers } else { copies }
 }
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -9,17 +9,17 @@
 pub(super) struct Load {
     pub(super) running: u32,
     pub(super) pending_tokens: u32,
-    pub(super) ordered: bool,
+    pub(super) loading: bool,
     heard_at: Option<Time>,
     unanswered_since: Option<Time>,
     /// When the oldest of the peers' words that count came.
-    told_at: Option<Time>,
+    reported_at: Option<Time>,
 }
 
 impl Load {
     /// When the oldest of the peers' words that count came; `None` where no peer has work there.
-    pub(super) fn told_at(&self) -> Option<Time> {
-        self.told_at
+    pub(super) fn reported_at(&self) -> Option<Time> {
+        self.reported_at
     }
 
     /// Adds what a peer told at time `told`.
@@ -29,8 +29,8 @@
         };
         self.running += busy.running;
         self.pending_tokens = self.pending_tokens.saturating_add(busy.pending_tokens);
-        self.ordered |= busy.ordered;
-        self.told_at = earlier(self.told_at, Some(told));
+        self.loading |= busy.ordered;
+        self.reported_at = earlier(self.reported_at, Some(told));
         self.heard_at = self.heard_at.max(before(busy.heard_ms));
         self.unanswered_since = earlier(self.unanswered_since, before(busy.unanswered_ms));
     }
@@ -56,21 +56,21 @@
         Load {
             running: others.running + server.running,
             pending_tokens: others.pending_tokens.saturating_add(server.pending_tokens),
-            ordered: others.ordered,
+            loading: others.loading,
             heard_at: others.heard_at.max(server.heard_at),
             unanswered_since: earlier(others.unanswered_since, server.unanswered_since),
-            told_at: others.told_at,
+            reported_at: others.reported_at,
         }
     }
 
     /// Whether a server may be given work at all: it is up, stays, and loads no weights.
-    pub(super) fn is_open(&self, now: Time, key: server::Key, server: &Server) -> bool {
-        server.is_usable(now) && !self.load(key, server).ordered
+    pub(super) fn accepts_work(&self, now: Time, key: server::Key, server: &Server) -> bool {
+        server.is_usable(now) && !self.load(key, server).loading
     }
 
     /// Whether a server has a place for one more request.
     pub(super) fn has_room(&self, now: Time, key: server::Key, server: &Server) -> bool {
-        self.is_open(now, key, server) && self.load(key, server).running < self.slots(server)
+        self.accepts_work(now, key, server) && self.load(key, server).running < self.slots(server)
     }
 
     fn slots(&self, server: &Server) -> u32 {
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -4,8 +4,8 @@
 
 use slotmap::SlotMap;
 
-use super::admission::{Expected, Turn};
-use super::drain::Drain;
+use super::admission::{Position, Refusals};
+use super::drain::Throughput;
 use super::life::Lives;
 use super::load::Load;
 use super::notice::Allowance;
@@ -77,11 +77,11 @@
     pub(super) pools: BTreeMap<String, Vec<server::Key>>,
     pub(super) requests: BTreeMap<Key, Request>,
     /// Waiting requests in turn.
-    pub(super) waiting: BTreeSet<Turn>,
+    pub(super) waiting: BTreeSet<Position>,
     /// How fast what waits is sent, by pool.
-    pub(super) drains: BTreeMap<String, Drain>,
+    pub(super) drains: BTreeMap<String, Throughput>,
     /// Refused callers that may come back.
-    pub(super) expected: Expected,
+    pub(super) expected: Refusals,
     pub(super) budgets: BTreeMap<String, Budget>,
     pub(super) peers: BTreeMap<String, Peer>,
     pub(super) ranking: Ranking,
@@ -123,7 +123,7 @@
     pub(super) read_at: BTreeMap<Topic, Time>,
     /// The earliest time for the next look at what waits, and the turn after which it goes on.
     pub(super) next_pump: Time,
-    pub(super) pumped: Option<Turn>,
+    pub(super) pumped: Option<Position>,
     /// Notices that may be sent now.
     pub(super) allowance: Allowance,
     pub(super) next_digest: Time,
@@ -153,7 +153,7 @@
             requests: BTreeMap::new(),
             waiting: BTreeSet::new(),
             drains: BTreeMap::new(),
-            expected: Expected::default(),
+            expected: Refusals::default(),
             budgets: BTreeMap::new(),
             peers: Peer::seeds(seeds, identity.address),
             ranking: Ranking::default(),
@@ -295,7 +295,7 @@
         self.look_at_schedulers(now);
         self.look_at_served(now);
         self.roll_out(now);
-        self.pump(now);
+        self.send_waiting(now);
         self.expire(now);
     }
 
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -74,7 +74,7 @@
                 request.submissions = 0;
             }
             if !self.submit(now, key) && self.let_in(now, key) {
-                self.send_or_wait(now, key);
+                self.send_or_queue(now, key);
             }
         }
     }
@@ -87,7 +87,7 @@
         if knows || request.origin.is_some() || self.draining {
             return false;
         }
-        let until = now + Self::longest_wait(request);
+        let until = now + Self::max_wait(request);
         let waits = now < *request.undecided_until.get_or_insert(until);
         if waits {
             request.phase = Phase::Waiting(now);
@@ -159,8 +159,8 @@
         if request.runs > 0 || request.counted > 0 {
             return true;
         }
-        let longest = Self::longest_absence(now, request);
-        let in_time = Self::longest_wait(request).min(longest);
+        let longest = Self::max_retry_after(now, request);
+        let in_time = Self::max_wait(request).min(longest);
         let (is_back, fingerprint) = (request.returned, request.arrival.fingerprint);
         let ask = Ask { workspace: &workspace, quota, units, is_back, in_time };
         match self.quota.let_in(now, ask) {
@@ -172,11 +172,11 @@
             }
             Err(_) if self.may_wait_undecided(now, key) => false,
             Err(over) => {
-                let after = self.spread(over.after.unwrap_or(longest / 2)).min(longest);
+                let after = self.with_jitter(over.after.unwrap_or(longest / 2)).min(longest);
                 self.log_over_quota(key, &workspace, quota, units, over);
-                self.refuse_until(now, key, Code::OverQuota, after);
+                self.refuse_with_retry_after(now, key, Code::OverQuota, after);
                 if over.after.is_none() {
-                    self.expected.forget(fingerprint);
+                    self.expected.remove(fingerprint);
                 }
                 false
             }
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -28,7 +28,7 @@
                 late.push((*key, server));
             }
             if let (Some(prompt), Some(version)) = (&request.arrival.prompt, request.weights)
-                && self.is_too_late(now, &prompt.model, version)
+                && self.needs_recall(now, &prompt.model, version)
             {
                 recalled.push(*key);
             }
@@ -50,7 +50,7 @@
         let late = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
             let weights = request.arrival.prompt.as_ref().zip(request.weights);
-            placed && weights.is_some_and(|(prompt, v)| self.is_left_too_late(now, &prompt.model, v))
+            placed && weights.is_some_and(|(prompt, v)| self.needs_takeover(now, &prompt.model, v))
         });
         let late: Vec<Key> = late.map(|(key, _)| *key).collect();
         for key in late {
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -101,7 +101,7 @@
         }
         self.catalog.trim();
         if any_new {
-            self.pump(now);
+            self.send_waiting(now);
         }
         any_new
     }
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -1,6 +1,6 @@
 //! The life of a request: it arrives, waits, is sent, and is sent again, refused or given up.
 
-use super::admission::Turn;
+use super::admission::Position;
 use super::place::Choice;
 use super::prompt::{keyed, shared};
 use super::request::{Phase, Request};
@@ -73,14 +73,14 @@
             self.note_heat(now, owner, prompt);
         }
         let key = arrival.request;
-        let returned = self.expected.is_back(now, arrival.fingerprint);
+        let returned = self.expected.is_retry(now, arrival.fingerprint);
         let request = Request { returned, ..Request::new(now, arrival, pool, origin) };
         self.requests.insert(key, request);
         if self.is_blocked(key) {
             return self.refuse_blocked(now, key);
         }
         if self.let_in(now, key) {
-            self.send_or_wait(now, key);
+            self.send_or_queue(now, key);
         }
     }
 
@@ -140,11 +140,15 @@
         request.tried.push(choice.server);
         request.weights = choice.weights;
         request.fetch_cost_ms = choice.from_store.then(|| choice.cost_ms - self.link.delay_ms(now));
-        request.phase =
-            Phase::Sent { server: choice.server, tokens: choice.tokens, begun: false, at: now };
+        request.phase = Phase::Sent {
+            server: choice.server,
+            tokens: choice.read_tokens,
+            begun: false,
+            at: now,
+        };
         server.running += 1;
         self.link.spend(choice.moved_bytes);
-        server.pending_tokens = server.pending_tokens.saturating_add(choice.tokens);
+        server.pending_tokens = server.pending_tokens.saturating_add(choice.read_tokens);
         let mut parts = Vec::new();
         if let Some(prompt) = &request.arrival.prompt {
             let salt = choice.salt.as_deref().unwrap_or_default();
@@ -164,11 +168,11 @@
             weights: choice.weights,
             fetch_from: choice.fetch_from,
             save_to: choice.save_to,
-            priority: Self::rank(request).min(9),
+            priority: Self::priority(request).min(9),
             most_idle,
         };
         self.log_sent(now, key, &choice);
-        self.notice(now, choice.server, choice.tokens, parts);
+        self.notice(now, choice.server, choice.read_tokens, parts);
         self.assign(key, dispatch, &choice);
     }
 
@@ -182,7 +186,7 @@
         if request.sends >= MAX_SENDS {
             return self.refuse(now, key, code);
         }
-        self.send_or_wait(now, key);
+        self.send_or_queue(now, key);
     }
 
     /// Sends a request once more that may have run, where its route allows it and it is not likely to be
@@ -193,7 +197,7 @@
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() && harmless {
             request.owes = true;
-            return self.send_or_wait(now, key);
+            return self.send_or_queue(now, key);
         }
         self.command(key, Command::GiveUp);
         self.forget(now, key);
@@ -221,9 +225,9 @@
             if let Some(origin) = &request.origin {
                 self.served.remove(origin);
             }
-            self.waiting.remove(&Turn::of(key, &request));
+            self.waiting.remove(&Position::of(key, &request));
             if !self.waiting.is_empty() {
-                self.pump(now);
+                self.send_waiting(now);
             }
         }
     }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -110,7 +110,7 @@
             .and_some("took_ms", took);
         self.event(Event::WeightsLoaded, detail);
         self.rollout.seen.push((life, model.to_owned(), version, now));
-        self.pump(now);
+        self.send_waiting(now);
     }
 
     /// Whether the configuration names this pool as one of engines: a registration that names another
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -123,7 +123,7 @@
             attempt: dispatch.attempt,
             life: server.entry.life.clone(),
             address: dispatch.address,
-            tokens: choice.tokens,
+            tokens: choice.read_tokens,
             salt: dispatch.salt,
             weights: dispatch.weights,
             fetch_from: dispatch.fetch_from,
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -129,7 +129,7 @@
             weights: assignment.weights,
             fetch_from: assignment.fetch_from,
             save_to: assignment.save_to,
-            priority: Self::rank(request).min(9),
+            priority: Self::priority(request).min(9),
             most_idle,
         };
         self.counts.sent += 1;
@@ -143,7 +143,7 @@
         let Some(request) = self.requests.get(&key) else { return false };
         let stays = self.servers.get(server).is_some_and(|server| !server.entry.leaving);
         let begins = match (&request.arrival.prompt, weights) {
-            (Some(prompt), Some(version)) => self.may_begin(now, &prompt.model, version),
+            (Some(prompt), Some(version)) => self.is_version_allowed(now, &prompt.model, version),
             _ => true,
         };
         stays && begins && (request.runs == 0 || request.may_repeat())
@@ -281,7 +281,7 @@
         let Stage::Placed(Placed { server, tokens, begun, at, .. }) = stage else {
             request.phase = Phase::Waiting(now);
             if !self.submit(now, key) && self.let_in(now, key) {
-                self.send_or_wait(now, key);
+                self.send_or_queue(now, key);
             }
             return;
         };
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -79,7 +79,7 @@
     pub(super) fn check_weights(&mut self, vm: usize) {
         let versions: BTreeSet<u64> = self.servers.iter().map(|server| server.version).collect();
         for version in versions {
-            let may = |node: &Node| node.may_begin(self.now, "m", version);
+            let may = |node: &Node| node.is_version_allowed(self.now, "m", version);
             if self.node(vm).is_some_and(may) {
                 self.check_begin(vm, version, "may begin on");
             }
