--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -10,7 +10,7 @@
 
 use super::drain::Throughput;
 use super::place::PLAIN_REQUEST_MS;
-use super::prompt::own_ms;
+use super::prompt::unshared_ms;
 use super::request::{Phase, Request};
 use super::{Command, Key, Node, server};
 use crate::poison::Fingerprint;
@@ -242,7 +242,7 @@
         let open = servers.filter(|(key, server)| self.accepts_work(now, *key, server));
         // An engine reads one prompt after another; a plain server works on several at a time.
         let (each_ms, at_a_time) = match &request.arrival.prompt {
-            Some(prompt) => (own_ms(prompt), open.count()),
+            Some(prompt) => (unshared_ms(prompt), open.count()),
             None => (PLAIN_REQUEST_MS, open.map(|(_, server)| server.entry.slots as usize).sum()),
         };
         let left = Self::max_retry_after(now, request);
--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -84,7 +84,7 @@
     /// believes.
     fn overtaken(&self, now: Time, request: &Request, weights: Option<u64>) -> Option<Duration> {
         let prompt = request.arrival.prompt.as_ref()?;
-        self.overtaken_for(now, &prompt.model, weights?)
+        self.superseded_for(now, &prompt.model, weights?)
     }
 
     /// Logs that the answer to a request began that was sent at time `at`.
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -127,7 +127,7 @@
                 show("weights", *version);
             }
             let weights = server.entry.weights.iter();
-            let ages = weights.filter_map(|(m, v)| self.overtaken_for(now, m, *v));
+            let ages = weights.filter_map(|(m, v)| self.superseded_for(now, m, *v));
             if let Some(age) = ages.max() {
                 show("weights_overtaken_ms", ms(age));
             }
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -94,7 +94,7 @@
 
     /// Sends digests: a scheduler's to all, any other daemon's to the schedulers and a few others.
     pub(super) fn send_digests(&mut self, now: Time) {
-        self.rollout.seen.retain(|(.., at)| now < *at + TELL_WEIGHTS);
+        self.rollout.observed.retain(|(.., at)| now < *at + TELL_WEIGHTS);
         let schedules = self.is_scheduler(now);
         let interval = if schedules { INTERVAL } else { self.interval() };
         self.next_digest = now + interval;
@@ -174,7 +174,7 @@
             .values()
             .filter(|server| server.running > 0 || server.ordered.is_some())
             .map(|server| (server.entry.life.clone(), server.busy(now)));
-        let seen = self.rollout.seen.iter();
+        let seen = self.rollout.observed.iter();
         Digest {
             daemon: self.identity.id.clone(),
             address: self.identity.address.to_string(),
@@ -191,8 +191,8 @@
             link_moved: self.link.moved(),
             blocked: self.poison.unkept(now),
             sent: now,
-            named: self.rollout.seen_named.told(now, self.policy.weights_limit),
-            missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
+            named: self.rollout.own_namings.recent(now, self.policy.weights_limit),
+            missed_nothing_for: self.rollout.complete_until.map(|at| now.saturating_sub(at)),
             keeper: self.keeping.name().to_owned(),
             used: self.quota.used(now),
         }
@@ -202,7 +202,7 @@
     pub(super) fn frame(&mut self, now: Time, frame: Frame) {
         match frame {
             Frame::Digest(digest) => self.digest_came(now, *digest),
-            Frame::Notice(notice) => self.notice_came(now, notice),
+            Frame::Notice(notice) => self.apply_notice(now, notice),
             Frame::Held(told) => self.told_came(now, &told),
             Frame::AskHeld(daemon, keeper) => self.asked_held(&daemon, keeper),
             Frame::Submission(submission) => self.submission_came(now, *submission),
@@ -267,7 +267,7 @@
         }
         for (life, model, version) in &digest.weights {
             if let Some(key) = self.lives.server(life) {
-                self.saw_weights(now, key, model, *version);
+                self.note_weights(now, key, model, *version);
             }
         }
         self.expected.merge_peer(now, &digest.refused);
@@ -289,7 +289,7 @@
             }
             let (daemon, incarnation) = (digest.daemon.clone(), digest.incarnation);
             let told_before = peer.digest.as_ref().is_some_and(|known| !known.named.is_empty());
-            self.rollout.named_is_stale |= told_before || !digest.named.is_empty();
+            self.rollout.merge_is_stale |= told_before || !digest.named.is_empty();
             peer.came(now, &digest);
             let delay = peer.delay();
             let told =
@@ -315,7 +315,7 @@
         // What was before this daemon's clock began tells nothing of the time since.
         let at = age.and_then(|age| now.checked_sub(age.saturating_add(delay)));
         if let Some(at) = at.filter(|_| !ahead && self.lacks_nothing()) {
-            self.missed_nothing(at);
+            self.note_complete_until(at);
         }
     }
 
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::prompt::{keyed, own_ms, shared};
+use super::prompt::{salted_key, shared_parts, unshared_ms};
 use super::{Node, Prompt, Server, server};
 use crate::prefix;
 use crate::prelude::*;
@@ -67,12 +67,12 @@
             .filter_map(|key| Some((*key, self.servers.get(*key)?)))
             .filter(|(_, server)| !server.entry.leaving)
             .collect();
-        let Some((last, earlier)) = shared(&prompt.parts).split_last() else {
+        let Some((last, earlier)) = shared_parts(&prompt.parts).split_last() else {
             return Homes::default();
         };
         let servers = ranked.len();
         let mut narrow = |part: u64, spare: fn(usize) -> usize| {
-            let part = keyed(owner, part);
+            let part = salted_key(owner, part);
             ranked.sort_by_cached_key(|(_, server)| {
                 std::cmp::Reverse(xxh3_64_with_seed(server.entry.life.id.as_bytes(), part))
             });
@@ -98,9 +98,9 @@
 
     /// Notes the work of a request for each part that it shares.
     pub(super) fn note_heat(&mut self, now: Time, owner: &str, prompt: &Prompt) {
-        let work_ms = own_ms(prompt) + f64::from(prompt.output) * ANSWER_TOKEN_MS;
-        for part in shared(&prompt.parts) {
-            self.heat.note(now, prefix::Key(keyed(owner, part.id)), work_ms);
+        let work_ms = unshared_ms(prompt) + f64::from(prompt.output) * ANSWER_TOKEN_MS;
+        for part in shared_parts(&prompt.parts) {
+            self.heat.note(now, prefix::Key(salted_key(owner, part.id)), work_ms);
         }
     }
 }
--- a/src/fleet/loading.rs
+++ b/src/fleet/loading.rs
@@ -9,56 +9,57 @@
 
 /// The part of a pool's engines that load at first: few enough for a source that bears few, and enough
 /// for all to be through in six loads.
-const FIRST_PART: usize = 6;
+const INITIAL_DIVISOR: usize = 6;
 /// The part of a pool's engines that may load at a time at most: the others must carry the load.
-const MOST_PART: usize = 4;
+const MAX_DIVISOR: usize = 4;
 /// By how much longer than the shortest a load may take that others do not slow down.
-const SLOWED: f64 = 1.3;
+const SLOWDOWN_RATIO: f64 = 1.3;
 /// By how much the number falls where loads are slowed down.
-const FALL: f64 = 0.75;
+const DECREASE_FACTOR: f64 = 0.75;
 /// The part of the limit for weights within which all engines of a pool are to have loaded.
-const LIMIT_PART: f64 = 0.5;
+const LIMIT_RATIO: f64 = 0.5;
 
 /// What was seen of the loads of one pool.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Loading {
+pub(super) struct Limiter {
     /// How many may load at a time; `None` until a load was seen.
-    most: Option<f64>,
+    concurrency: Option<f64>,
     /// The shortest load.
     shortest: Option<Duration>,
     /// When the number last fell.
-    fell_at: Time,
+    decreased_at: Time,
 }
 
-impl Loading {
-    /// How many of `engines` may load at a time, all of them being due within `limit`. In a hurry as many
+impl Limiter {
+    /// How many of `engines` may load at a time, all of them being due within `limit`. If urgent, as many
     /// as may carry nothing at all.
-    pub(super) fn most(&self, engines: usize, limit: Duration, hurry: bool) -> usize {
-        let ceiling = engines.div_ceil(if hurry { MOST_PART / 2 } else { MOST_PART }).max(1);
-        if hurry {
+    pub(super) fn max_concurrent(&self, engines: usize, limit: Duration, urgent: bool) -> usize {
+        let ceiling = engines.div_ceil(if urgent { MAX_DIVISOR / 2 } else { MAX_DIVISOR }).max(1);
+        if urgent {
             return ceiling;
         }
-        let first = engines.div_ceil(FIRST_PART);
-        let wanted = self.most.map_or(first, |most| most as usize);
+        let first = engines.div_ceil(INITIAL_DIVISOR);
+        let wanted = self.concurrency.map_or(first, |concurrency| concurrency as usize);
         let in_time = self.shortest.map_or(1, |shortest| {
-            let rounds = limit.as_secs_f64() * LIMIT_PART / shortest.as_secs_f64().max(0.001);
+            let rounds = limit.as_secs_f64() * LIMIT_RATIO / shortest.as_secs_f64().max(0.001);
             (engines as f64 / rounds.max(1.0)).ceil() as usize
         });
         wanted.max(in_time).clamp(1, ceiling)
     }
 
     /// Takes over that one of `engines` took so long for a load.
-    pub(super) fn loaded(&mut self, now: Time, engines: usize, took: Duration) {
+    pub(super) fn note_load(&mut self, now: Time, engines: usize, took: Duration) {
         let shortest = self.shortest.map_or(took, |shortest| shortest.min(took));
         self.shortest = Some(shortest);
-        let most = self.most.unwrap_or(engines.div_ceil(FIRST_PART) as f64).max(1.0);
-        if took <= shortest.mul_f64(SLOWED) {
+        let concurrency =
+            self.concurrency.unwrap_or(engines.div_ceil(INITIAL_DIVISOR) as f64).max(1.0);
+        if took <= shortest.mul_f64(SLOWDOWN_RATIO) {
             // One more for as many loads as go on at a time.
-            self.most = Some((most + 1.0 / most).min(engines.max(1) as f64));
-        } else if now >= self.fell_at + took {
+            self.concurrency = Some((concurrency + 1.0 / concurrency).min(engines.max(1) as f64));
+        } else if now >= self.decreased_at + took {
             // Those that were slowed down together count once.
-            self.fell_at = now;
-            self.most = Some((most * FALL).max(1.0));
+            self.decreased_at = now;
+            self.concurrency = Some((concurrency * DECREASE_FACTOR).max(1.0));
         }
     }
 }
--- a/src/fleet/naming.rs
+++ b/src/fleet/naming.rs
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 
 /// Versions of one model that are remembered.
-const MAX_NAMED: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// The longest time for which a version may have been named at one moment. That may be longer than the daemon's clock
 /// runs.
@@ -25,7 +25,7 @@
     }
 
     /// What was told at time `at` to be of this age, and had been on its way for `delay`.
-    pub(super) fn told(at: Time, age: Duration, delay: Duration) -> Self {
+    pub(super) fn reported(at: Time, age: Duration, delay: Duration) -> Self {
         Self { at, age: age.saturating_add(delay) }
     }
 
@@ -60,7 +60,7 @@
     /// missed, that of 5 holds for them too.
     named: Vec<Named>,
     /// The newest version that is no longer listed.
-    forgotten: Option<u64>,
+    evicted: Option<u64>,
 }
 
 /// The versions that were named, by model.
@@ -71,9 +71,9 @@
 
 impl Namings {
     /// The longest time for which a version after this one may have been named; `None` where none has.
-    pub(super) fn overtaken_for(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
+    pub(super) fn superseded_for(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
         let model = self.models.get(model)?;
-        if model.forgotten.is_some_and(|forgotten| forgotten > version) {
+        if model.evicted.is_some_and(|evicted| evicted > version) {
             return Some(Duration::MAX);
         }
         let first = model.named.iter().find(|named| named.version > version)?;
@@ -86,7 +86,7 @@
     }
 
     /// Takes over that the store names a version; whether it is newer than those known.
-    pub(super) fn take(&mut self, model: &str, version: u64, bound: Option<Bound>) -> bool {
+    pub(super) fn record(&mut self, model: &str, version: u64, bound: Option<Bound>) -> bool {
         if self.newest(model).is_some_and(|newest| newest >= version) {
             return false;
         }
@@ -95,11 +95,11 @@
     }
 
     /// Takes over what a peer told at time `at`, `delay` after it knew; `now` is the time at which bounds are compared.
-    pub(super) fn hear(&mut self, now: Time, told: &[Naming], at: Time, delay: Duration) {
+    pub(super) fn merge_peer(&mut self, now: Time, told: &[Naming], at: Time, delay: Duration) {
         for Naming { model, version, age } in told {
-            let bound = age.map(|age| Bound::told(at, age, delay));
+            let bound = age.map(|age| Bound::reported(at, age, delay));
             let known = self.models.entry(model.clone()).or_default();
-            if known.forgotten.is_some_and(|forgotten| forgotten >= *version) {
+            if known.evicted.is_some_and(|evicted| evicted >= *version) {
                 continue;
             }
             match known.named.iter_mut().find(|named| named.version == *version) {
@@ -114,7 +114,7 @@
 
     /// What peers are told: versions that were named within `limit`, and the one before each, after which its bound
     /// holds.
-    pub(super) fn told(&self, now: Time, limit: Duration) -> Vec<Naming> {
+    pub(super) fn recent(&self, now: Time, limit: Duration) -> Vec<Naming> {
         let age = |named: &Named| named.bound.map(|bound| bound.age(now)).filter(|a| *a < limit);
         let mut told = Vec::new();
         for (model, Model { named, .. }) in &self.models {
@@ -133,8 +133,8 @@
     fn insert(&mut self, new: Named) {
         let index = self.named.partition_point(|known| known.version < new.version);
         self.named.insert(index, new);
-        if self.named.len() > MAX_NAMED {
-            self.forgotten = Some(self.named.remove(0).version);
+        if self.named.len() > MAX_VERSIONS {
+            self.evicted = Some(self.named.remove(0).version);
         }
     }
 }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -286,7 +286,7 @@
         self.look_at_ranking(now);
         self.look_at_quotas(now);
         self.gossip(now);
-        self.look_at_namings(now);
+        self.refresh_namings(now);
         self.read_events(now);
         self.sum_others(now);
         self.look_at_unanswered(now);
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -11,10 +11,10 @@
 pub(super) use crate::allowance::Allowance;
 
 /// Prompt tokens from which a request is a large one: some 20 ms of an engine.
-pub(super) const LARGE: u32 = 1_000;
+pub(super) const LARGE_TOKENS: u32 = 1_000;
 /// Notices that one daemon sends a second at most, counting one for each peer, so that many daemons
 /// cost each other little: 12 KB a second.
-const MOST_PER_S: f64 = 300.0;
+const MAX_NOTICES_PER_S: f64 = 300.0;
 
 /// What a daemon has at one server now.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,8 +31,16 @@
 
 impl Node {
     /// Tells peers what this daemon has at a server, where the change is of a large prompt.
-    pub(super) fn notice(&mut self, now: Time, key: server::Key, tokens: u32, parts: Vec<u64>) {
-        let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE) else { return };
+    pub(super) fn send_notice(
+        &mut self,
+        now: Time,
+        key: server::Key,
+        tokens: u32,
+        parts: Vec<u64>,
+    ) {
+        let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE_TOKENS) else {
+            return;
+        };
         let (life, busy) = (server.entry.life.clone(), server.busy(now));
         if self.is_scheduler(now) {
             // The others are told of its load soon enough, and place nothing at the same servers.
@@ -42,7 +50,7 @@
         if peers.is_empty() {
             return;
         }
-        self.allowance.refill(now, MOST_PER_S, MOST_PER_S);
+        self.allowance.refill(now, MAX_NOTICES_PER_S, MAX_NOTICES_PER_S);
         if self.allowance.spend(peers.len() as f64) {
             let daemon = self.identity.id.clone();
             let notice = Notice { daemon, life, busy, parts };
@@ -54,7 +62,7 @@
 impl Node {
     /// Takes over what a peer has at one server now; its next digest tells of the work too. What the
     /// server begins to read for others need not be read at another one.
-    pub(super) fn notice_came(&mut self, now: Time, notice: Notice) {
+    pub(super) fn apply_notice(&mut self, now: Time, notice: Notice) {
         let Notice { daemon, life, busy, parts } = notice;
         if let Some(server) = self.lives.server(&life).and_then(|key| self.servers.get_mut(key)) {
             for part in parts {
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -11,50 +11,50 @@
 use crate::prelude::*;
 
 /// Shortest time between two reads of the servers' topic, so that several changes come at once.
-const SERVERS_LEAST: Duration = Duration::from_millis(250);
+const MIN_SERVERS_INTERVAL: Duration = Duration::from_millis(250);
 /// Time in which readers that do not schedule read the servers' topic once between them.
-const SERVERS_TOGETHER: Duration = Duration::from_millis(50);
+const JOINT_SERVERS_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest time between two reads of the servers' topic: a leaving server may be given work for two
 /// seconds after the store knows, whatever peers tell.
-const SERVERS_MOST: Duration = Duration::from_millis(1_200);
+const MAX_SERVERS_INTERVAL: Duration = Duration::from_millis(1_200);
 /// Time between two reads of daemons' registrations: digests make daemons known to each other sooner.
-const ROUTERS: Duration = Duration::from_secs(2);
+const ROUTERS_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two reads of the lease for those who may take it next: under the time between two
 /// renewals.
-const LEASE_SOON: Duration = Duration::from_millis(600);
+const CANDIDATE_LEASE_INTERVAL: Duration = Duration::from_millis(600);
 /// The same for all others, who need it only once those before them are gone.
-const LEASE_LATER: Duration = Duration::from_millis(2_500);
+const LEASE_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Time that a read of the lease waits for a record while engines lack weights: longer than the time
 /// between two renewals, and short beside the limit for weights. A read that the store swallows in an
 /// outage is noticed only after it, and weights that were named before stay away for as long.
-const LEASE_WAIT_ACTIVE: Duration = Duration::from_secs(2);
+const ACTIVE_LEASE_WAIT: Duration = Duration::from_secs(2);
 /// The same for those who may take the lease next while there is nothing to order.
-const LEASE_WAIT_SOON: Duration = Duration::from_secs(5);
+const CANDIDATE_LEASE_WAIT: Duration = Duration::from_secs(5);
 /// Longest time that a read of what operators publish waits for a record. A read that an outage swallowed is noticed only after
 /// it, and has the others asked anew: configurations are due within 2 s of 3 s of calm.
-const OPERATOR_WAIT: Duration = Duration::from_secs(2);
+const MAX_OPERATOR_WAIT: Duration = Duration::from_secs(2);
 /// Different lengths of that wait.
-const OPERATOR_WAITS: u64 = 16;
+const OPERATOR_WAIT_STEPS: u64 = 16;
 /// Time that any other read waits for a record.
-const WAIT: Duration = Duration::from_secs(20);
+const DEFAULT_WAIT: Duration = Duration::from_secs(20);
 /// The same for a scheduler's reads that other daemons rely on: a read that has ended shows that the
 /// store is there, one that waits does not.
-const WAIT_FOR_OTHERS: Duration = Duration::from_millis(400);
+const SCHEDULER_WAIT: Duration = Duration::from_millis(400);
 /// Time from a read that failed to the next, for those who read for all.
-const AGAIN: Duration = Duration::from_millis(300);
+const READER_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// The same for all others: while the store is down every daemon reads by itself, and the first reader
 /// that it answers tells the others.
-const AGAIN_OTHERS: Duration = Duration::from_millis(1_200);
+const RETRY_DELAY: Duration = Duration::from_millis(1_200);
 /// Age of what a scheduler has read from which a daemon reads by itself: a configuration is to be in
 /// force within 2 s, also where every scheduler is cut off from the store.
-const RELIED_ON_FOR: Duration = Duration::from_millis(1_300);
+const MAX_SCHEDULER_READ_AGE: Duration = Duration::from_millis(1_300);
 /// Daemons that read the lease often.
 const LEASE_CANDIDATES: u32 = 3;
 
 impl Node {
     /// Whether this daemon is to read what is tracked: as one of those who read for all, or because no
     /// scheduler tells that it has lately.
-    pub fn reads(&self, now: Time, tracked: Tracked) -> bool {
+    pub fn should_read(&self, now: Time, tracked: Tracked) -> bool {
         let topic = match tracked {
             Tracked::Topic(topic) => topic,
             // Those who may take it next read it; the others need it once those have fallen silent.
@@ -69,7 +69,7 @@
         }
         let told = self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now));
         let ages = told.filter_map(|(_, peer)| peer.read_age(now, topic));
-        ages.min().is_none_or(|age| age >= RELIED_ON_FOR)
+        ages.min().is_none_or(|age| age >= MAX_SCHEDULER_READ_AGE)
     }
 
     /// Whether this daemon is one of the first to take the lease, as far as daemons are known.
@@ -94,41 +94,45 @@
     }
 
     /// Time that a read may wait for a record.
-    pub fn wait(&self, now: Time, tracked: Tracked) -> Duration {
+    pub fn max_read_wait(&self, now: Time, tracked: Tracked) -> Duration {
         match tracked {
             Tracked::Topic(Topic::Operator | Topic::Servers) if self.is_relied_on(now) => {
-                WAIT_FOR_OTHERS
+                SCHEDULER_WAIT
             }
             // Each daemon waits differently long: a record ends all waits at once, and with equal ones no daemon would
             // have asked later than another when the next record comes.
             Tracked::Topic(Topic::Operator) => {
-                let part = xxh3_64(self.identity.id.as_bytes()) % OPERATOR_WAITS;
-                OPERATOR_WAIT - OPERATOR_WAIT / 2 * part as u32 / OPERATOR_WAITS as u32
+                let part = xxh3_64(self.identity.id.as_bytes()) % OPERATOR_WAIT_STEPS;
+                MAX_OPERATOR_WAIT - MAX_OPERATOR_WAIT / 2 * part as u32 / OPERATOR_WAIT_STEPS as u32
             }
-            Tracked::Topic(_) => WAIT,
-            Tracked::Lease if self.rank_among_daemons() >= LEASE_CANDIDATES => WAIT,
-            Tracked::Lease if self.rollout.is_active() => LEASE_WAIT_ACTIVE,
-            Tracked::Lease => LEASE_WAIT_SOON,
+            Tracked::Topic(_) => DEFAULT_WAIT,
+            Tracked::Lease if self.rank_among_daemons() >= LEASE_CANDIDATES => DEFAULT_WAIT,
+            Tracked::Lease if self.rollout.is_active() => ACTIVE_LEASE_WAIT,
+            Tracked::Lease => CANDIDATE_LEASE_WAIT,
         }
     }
 
     /// Time from a read that failed to the next one.
-    pub fn pause(&self) -> Duration {
-        if self.is_reader() { AGAIN } else { AGAIN_OTHERS }
+    pub fn retry_delay(&self) -> Duration {
+        if self.is_reader() { READER_RETRY_DELAY } else { RETRY_DELAY }
     }
 
     /// Time from a read that brought something to the next read.
-    pub fn pace(&self, now: Time, tracked: Tracked) -> Duration {
+    pub fn read_interval(&self, now: Time, tracked: Tracked) -> Duration {
         match tracked {
             Tracked::Topic(Topic::Operator) => Duration::ZERO,
-            Tracked::Topic(Topic::Routers) => ROUTERS,
-            Tracked::Topic(Topic::Servers) if self.is_relied_on(now) => SERVERS_LEAST,
+            Tracked::Topic(Topic::Routers) => ROUTERS_INTERVAL,
+            Tracked::Topic(Topic::Servers) if self.is_relied_on(now) => MIN_SERVERS_INTERVAL,
             Tracked::Topic(Topic::Servers) => {
                 let daemons = u32::try_from(self.fresh_peers(now) + 1).unwrap_or(u32::MAX);
-                SERVERS_TOGETHER.saturating_mul(daemons).clamp(SERVERS_LEAST, SERVERS_MOST)
+                JOINT_SERVERS_INTERVAL
+                    .saturating_mul(daemons)
+                    .clamp(MIN_SERVERS_INTERVAL, MAX_SERVERS_INTERVAL)
             }
-            Tracked::Lease if self.rank_among_daemons() < LEASE_CANDIDATES => LEASE_SOON,
-            Tracked::Lease => LEASE_LATER,
+            Tracked::Lease if self.rank_among_daemons() < LEASE_CANDIDATES => {
+                CANDIDATE_LEASE_INTERVAL
+            }
+            Tracked::Lease => LEASE_INTERVAL,
         }
     }
 }
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -4,8 +4,8 @@
 
 use super::homes::{Homes, Role};
 use super::load::Load;
-use super::notice::LARGE;
-use super::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, own_ms, salt, shared_tokens};
+use super::notice::LARGE_TOKENS;
+use super::prompt::{PREFILL_TOKENS_PER_MS, cache_salt, held_tokens, shared_tokens, unshared_ms};
 use super::request::Request;
 use super::residency::{Sources, Supply};
 use super::{Key, Node, Place, Prompt, Server, Topic, server};
@@ -167,7 +167,7 @@
         for (key, server) in usable {
             let Some(version) = server.version(&prompt.model) else { continue };
             let (salt, sources) = by_version.entry(version).or_insert_with(|| {
-                let salt = salt(version, requirement.isolated);
+                let salt = cache_salt(version, requirement.isolated);
                 let sources =
                     self.sources(now, prompt, version, &salt, &requirement.homes, &request.pool);
                 (salt, sources)
@@ -194,8 +194,11 @@
         let isolated = request.arrival.workspace.as_ref().filter(|owner| owner.isolated);
         let isolated = isolated.map(|owner| owner.name.as_str());
         let homes = self.homes(now, isolated.unwrap_or_default(), &request.pool, prompt);
-        let part =
-            if prompt.input < LARGE { MAX_ENGINE_WAIT_RATIO_SMALL } else { MAX_ENGINE_WAIT_RATIO };
+        let part = if prompt.input < LARGE_TOKENS {
+            MAX_ENGINE_WAIT_RATIO_SMALL
+        } else {
+            MAX_ENGINE_WAIT_RATIO
+        };
         let max_wait_ms = request.arrival.route.target.as_secs_f64() * 1_000.0 * part;
         // What a home will soon have room for waits for it; where no home has a place, or it has waited
         // for one in vain, another engine that is idle reads the parts in time.
@@ -244,7 +247,7 @@
         }
         let tried = if requirement.request.tried.contains(&key) { TRIED_PENALTY_MS } else { 0.0 };
         let cost_ms = wait_ms
-            + own_ms(prompt)
+            + unshared_ms(prompt)
             + supply.fetch_ms
             + supply.copy_ms
             + reread_ms
@@ -309,7 +312,7 @@
         if !self.known.contains(&Topic::Operator) {
             return None;
         }
-        let Some(age) = self.overtaken_for(now, model, version) else {
+        let Some(age) = self.superseded_for(now, model, version) else {
             return Some(0.0);
         };
         if age.saturating_add(OLD_WEIGHTS_MARGIN) >= self.policy.weights_limit {
@@ -334,7 +337,7 @@
     }
 
     fn reaches_limit_within(&self, now: Time, margin: Duration, model: &str, version: u64) -> bool {
-        let age = self.overtaken_for(now, model, version);
+        let age = self.superseded_for(now, model, version);
         age.is_some_and(|age| age.saturating_add(margin) >= self.policy.weights_limit)
     }
 }
--- a/src/fleet/prompt.rs
+++ b/src/fleet/prompt.rs
@@ -29,19 +29,19 @@
 }
 
 /// The parts of a prompt that other requests may share: all but the last.
-pub(super) fn shared(parts: &[Part]) -> &[Part] {
+pub(super) fn shared_parts(parts: &[Part]) -> &[Part] {
     parts.split_last().map_or(&[], |(_, shared)| shared)
 }
 
 /// Tokens of a prompt that other requests may share.
 pub(super) fn shared_tokens(prompt: &Prompt) -> u32 {
-    let sum: u32 = shared(&prompt.parts).iter().map(|part| part.tokens).sum();
+    let sum: u32 = shared_parts(&prompt.parts).iter().map(|part| part.tokens).sum();
     sum.min(prompt.input)
 }
 
 /// What an engine keeps cached prompts under: the version of its weights, and the workspace where
 /// that shares with no other.
-pub(super) fn salt(version: u64, isolated: Option<&str>) -> String {
+pub(super) fn cache_salt(version: u64, isolated: Option<&str>) -> String {
     match isolated {
         Some(owner) => format!("{version}.{owner}"),
         None => version.to_string(),
@@ -49,7 +49,7 @@
 }
 
 /// A part, or another hash, under what it is kept.
-pub(super) fn keyed(salt: &str, part: u64) -> u64 {
+pub(super) fn salted_key(salt: &str, part: u64) -> u64 {
     xxh3_64_with_seed(salt.as_bytes(), part)
 }
 
@@ -57,8 +57,8 @@
 /// the part is kept under and its tokens.
 pub(super) fn held_tokens(prompt: &Prompt, salt: &str, tokens: impl Fn(u64, u32) -> u32) -> u32 {
     let mut sum = 0;
-    for part in shared(&prompt.parts) {
-        let tokens = tokens(keyed(salt, part.id), part.tokens);
+    for part in shared_parts(&prompt.parts) {
+        let tokens = tokens(salted_key(salt, part.id), part.tokens);
         sum += tokens;
         if tokens < part.tokens {
             break;
@@ -68,6 +68,6 @@
 }
 
 /// Milliseconds of an engine for what a prompt shares with no other.
-pub(super) fn own_ms(prompt: &Prompt) -> f64 {
+pub(super) fn unshared_ms(prompt: &Prompt) -> f64 {
     f64::from(prompt.input.saturating_sub(shared_tokens(prompt))) / PREFILL_TOKENS_PER_MS
 }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -27,7 +27,7 @@
             self.take(now, batch, true);
         }
         if topic == Topic::Operator && self.lacks_nothing() {
-            self.missed_nothing(asked);
+            self.note_complete_until(asked);
         }
     }
 
@@ -134,7 +134,7 @@
     fn change(&mut self, now: Time, change: Change) {
         match change {
             Change::Table { table, left_out } => self.adopt(table, &left_out),
-            Change::Weights { model, version } => self.name_weights(now, &model, version),
+            Change::Weights { model, version } => self.note_naming(now, &model, version),
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
             Change::Router { id, address, cores } => self.meet(now, id, address, cores),
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -19,7 +19,7 @@
         match report {
             Report::Begun(weights) => {
                 if let (Some(model), Some(version)) = (model, weights) {
-                    self.saw_weights(now, server, &model, version);
+                    self.note_weights(now, server, &model, version);
                 }
                 self.heard(now, server);
                 self.begun(now, key, server, tokens, begun, at);
@@ -95,7 +95,7 @@
         if let Some(request) = self.requests.get_mut(&key) {
             request.phase = Phase::Sent { server, tokens, begun: true, at };
         }
-        self.notice(now, server, tokens, Vec::new());
+        self.send_notice(now, server, tokens, Vec::new());
     }
 
     pub(super) fn note_refusal(
@@ -106,7 +106,7 @@
         refused: Refused,
     ) {
         if let (Refused::Weights(Some(version)), Some(model)) = (refused, model) {
-            return self.saw_weights(now, key, model, version);
+            return self.note_weights(now, key, model, version);
         }
         if let Some(server) = self.servers.get_mut(key) {
             match refused {
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -2,7 +2,7 @@
 
 use super::admission::Position;
 use super::place::Choice;
-use super::prompt::{keyed, shared};
+use super::prompt::{salted_key, shared_parts};
 use super::request::{Phase, Request};
 use super::retry::Terms;
 use super::scheduling::Origin;
@@ -152,9 +152,9 @@
         let mut parts = Vec::new();
         if let Some(prompt) = &request.arrival.prompt {
             let salt = choice.salt.as_deref().unwrap_or_default();
-            for part in shared(&prompt.parts) {
-                parts.push(keyed(salt, part.id));
-                server.held.note_sent(now, keyed(salt, part.id));
+            for part in shared_parts(&prompt.parts) {
+                parts.push(salted_key(salt, part.id));
+                server.held.note_sent(now, salted_key(salt, part.id));
                 if choice.save_to.is_some() {
                     self.kept.note(now, salt, part.id);
                 }
@@ -172,7 +172,7 @@
             most_idle,
         };
         self.log_sent(now, key, &choice);
-        self.notice(now, choice.server, choice.read_tokens, parts);
+        self.send_notice(now, choice.server, choice.read_tokens, parts);
         self.assign(key, dispatch, &choice);
     }
 
--- a/src/fleet/residency/held.rs
+++ b/src/fleet/residency/held.rs
@@ -1,7 +1,7 @@
 //! The parts that one engine, or the KV store, keeps.
 
 use super::Told;
-use crate::fleet::prompt::keyed;
+use crate::fleet::prompt::salted_key;
 use crate::prelude::*;
 
 /// Tokens from which a part is told to peers: to move fewer takes longer than to read them (5 ms to
@@ -151,7 +151,7 @@
         (self.epoch, self.next, self.heard) = (Some(read.epoch), read.next, Some(now));
         let mut changes = BTreeMap::new();
         for stored in &read.changes {
-            let part = keyed(&stored.salt, stored.part);
+            let part = salted_key(&stored.salt, stored.part);
             let before = self.set(part, stored.tokens);
             if before.max(stored.tokens) >= WORTH_TELLING {
                 changes.insert(part, stored.tokens);
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -5,7 +5,7 @@
 
 use super::Place;
 use crate::fleet::homes::Homes;
-use crate::fleet::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, shared, shared_tokens};
+use crate::fleet::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, shared_parts, shared_tokens};
 use crate::fleet::{Node, Prompt, server};
 use crate::prelude::*;
 
@@ -214,7 +214,7 @@
     ) -> Option<(SocketAddr, f64)> {
         let table = self.table.as_ref()?;
         let store = table.kv_store().filter(|_| self.kept.is_up(now))?;
-        let parts = shared(&prompt.parts);
+        let parts = shared_parts(&prompt.parts);
         let lacks = parts.iter().any(|part| !self.kept.will_have(now, salt, *part));
         let bytes = f64::from(prompt.input) * table.engine(pool)?.token_bytes as f64 * zones;
         let worth = shared_tokens(prompt) >= WORTH_MOVING && lacks && self.link.has(bytes);
--- a/src/fleet/residency/store.rs
+++ b/src/fleet/residency/store.rs
@@ -3,7 +3,7 @@
 use super::Held;
 use crate::allowance::Allowance;
 use crate::fleet::Part;
-use crate::fleet::prompt::keyed;
+use crate::fleet::prompt::salted_key;
 use crate::prelude::*;
 
 /// Time in which a part that an engine was told to send must show among the store's events: the
@@ -101,18 +101,18 @@
             self.on_their_way.retain(|_, at| now < *at + ON_ITS_WAY);
         }
         if self.on_their_way.len() < MAX_ON_THEIR_WAY {
-            self.on_their_way.insert(keyed(salt, part), now);
+            self.on_their_way.insert(salted_key(salt, part), now);
         }
     }
 
     /// Whether the store keeps a part whole.
     pub(in crate::fleet) fn has(&self, now: Time, salt: &str, part: Part) -> bool {
-        self.held.tokens(now, keyed(salt, part.id), part.tokens) == part.tokens
+        self.held.tokens(now, salted_key(salt, part.id), part.tokens) == part.tokens
     }
 
     /// Whether the store keeps a part, or is being sent it.
     pub(in crate::fleet) fn will_have(&self, now: Time, salt: &str, part: Part) -> bool {
-        let on_its_way = self.on_their_way.get(&keyed(salt, part.id));
+        let on_its_way = self.on_their_way.get(&salted_key(salt, part.id));
         self.has(now, salt, part) || on_its_way.is_some_and(|at| now < *at + ON_ITS_WAY)
     }
 }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -2,7 +2,7 @@
 //! many at once.
 
 use super::life::Known;
-use super::loading::Loading;
+use super::loading::Limiter;
 use super::naming::{Bound, Namings};
 use super::server::Ordered;
 use super::{Effect, Entry, Life, Node, OrderEnd, State, Tracked, server};
@@ -10,58 +10,58 @@
 
 /// Time after an order until its engine is first asked whether it is done: a load takes about half
 /// a second, and reports lag.
-const FIRST_POLL: Duration = Duration::from_millis(700);
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(700);
 /// Time between two questions: an engine that is done carries nothing until that is known.
-const POLL: Duration = Duration::from_millis(120);
+const POLL_INTERVAL: Duration = Duration::from_millis(120);
 /// The part of the limit for weights after which an engine's are so old that as many load at a time as
 /// can be spared: what is left of the time bears few rounds more.
-const HURRY_AFTER: f64 = 0.6;
+const URGENT_AGE_RATIO: f64 = 0.6;
 /// Time after which an order that shows no effect counts as lost.
-const ORDER_LOST: Duration = Duration::from_millis(5_000);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Time by which each daemon waits longer than the one before it to take the lease.
-const CANDIDATE_STEP: Duration = Duration::from_millis(250);
+const CANDIDATE_DELAY_STEP: Duration = Duration::from_millis(250);
 
 /// What was named, and what was ordered.
 #[derive(Debug, Default)]
 pub(super) struct Rollout {
     /// What was named, as far as this daemon saw itself.
-    pub(super) seen_named: Namings,
+    pub(super) own_namings: Namings,
     /// The same with what peers told last.
-    named: Namings,
+    merged_namings: Namings,
     /// Whether peers told something since that was put together.
-    pub(super) named_is_stale: bool,
+    pub(super) merge_is_stale: bool,
     /// Until when nothing that operators published was missed, as far as is known.
-    pub(super) missed_nothing_at: Option<Time>,
+    pub(super) complete_until: Option<Time>,
     /// Since when engines lack what was named.
-    wanting_since: Option<Time>,
+    outdated_since: Option<Time>,
     /// Weights that were seen lately: server, model, version, and when.
-    pub(super) seen: Vec<(Life, String, u64, Time)>,
+    pub(super) observed: Vec<(Life, String, u64, Time)>,
     /// What was seen of loads, by pool.
-    loads: BTreeMap<String, Loading>,
+    limiters: BTreeMap<String, Limiter>,
 }
 
 impl Rollout {
     /// Whether engines lack what was named.
     pub(super) fn is_active(&self) -> bool {
-        self.wanting_since.is_some()
+        self.outdated_since.is_some()
     }
 }
 
 impl Node {
     /// Notes that nothing that operators published was missed until time `at`.
-    pub(super) fn missed_nothing(&mut self, at: Time) {
-        let known = self.rollout.missed_nothing_at.get_or_insert(at);
+    pub(super) fn note_complete_until(&mut self, at: Time) {
+        let known = self.rollout.complete_until.get_or_insert(at);
         *known = at.max(*known);
     }
 
     /// Takes over that `version` of `model` was named: after the time until which nothing was missed.
-    pub(super) fn name_weights(&mut self, now: Time, model: &str, version: u64) {
-        let bound = self.rollout.missed_nothing_at.map(|since| Bound::since(since, now));
-        if !self.rollout.seen_named.take(model, version, bound) {
+    pub(super) fn note_naming(&mut self, now: Time, model: &str, version: u64) {
+        let bound = self.rollout.complete_until.map(|since| Bound::since(since, now));
+        if !self.rollout.own_namings.record(model, version, bound) {
             return;
         }
-        self.put_namings_together(now);
-        let age = self.overtaken_for(now, model, version.saturating_sub(1));
+        self.merge_namings(now);
+        let age = self.superseded_for(now, model, version.saturating_sub(1));
         let detail = Detail::of("model", model)
             .and("version", version)
             .and_some("most_ms", age.filter(|age| *age < Duration::MAX));
@@ -69,28 +69,28 @@
     }
 
     /// Puts together what this daemon saw and what each peer told last, where that has changed.
-    pub(super) fn look_at_namings(&mut self, now: Time) {
-        if std::mem::take(&mut self.rollout.named_is_stale) {
-            self.put_namings_together(now);
+    pub(super) fn refresh_namings(&mut self, now: Time) {
+        if std::mem::take(&mut self.rollout.merge_is_stale) {
+            self.merge_namings(now);
         }
     }
 
-    fn put_namings_together(&mut self, now: Time) {
-        let mut named = self.rollout.seen_named.clone();
+    fn merge_namings(&mut self, now: Time) {
+        let mut named = self.rollout.own_namings.clone();
         for peer in self.peers.values() {
             let (Some(digest), Some(heard)) = (&peer.digest, peer.heard) else { continue };
-            named.hear(now, &digest.named, heard, peer.delay());
+            named.merge_peer(now, &digest.named, heard, peer.delay());
         }
-        self.rollout.named = named;
+        self.rollout.merged_namings = named;
     }
 
     /// For how long, at most, a version after this one has been named; `None` where none has.
-    pub(super) fn overtaken_for(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
-        self.rollout.named.overtaken_for(now, model, version)
+    pub(super) fn superseded_for(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
+        self.rollout.merged_namings.superseded_for(now, model, version)
     }
 
     /// Notes the version that a server was seen to have.
-    pub(super) fn saw_weights(&mut self, now: Time, key: server::Key, model: &str, version: u64) {
+    pub(super) fn note_weights(&mut self, now: Time, key: server::Key, model: &str, version: u64) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if server.version(model).is_some_and(|known| known >= version) {
             return;
@@ -100,7 +100,7 @@
         let pool = server.entry.pool.clone();
         if let Some(took) = took {
             let engines = self.pools.get(&pool).map_or(1, Vec::len);
-            self.rollout.loads.entry(pool).or_default().loaded(now, engines, took);
+            self.rollout.limiters.entry(pool).or_default().note_load(now, engines, took);
         }
         let Some(server) = self.servers.get(key) else { return };
         let life = server.entry.life.clone();
@@ -109,45 +109,45 @@
             .and("version", version)
             .and_some("took_ms", took);
         self.event(Event::WeightsLoaded, detail);
-        self.rollout.seen.push((life, model.to_owned(), version, now));
+        self.rollout.observed.push((life, model.to_owned(), version, now));
         self.send_waiting(now);
     }
 
     /// Whether the configuration names this pool as one of engines: a registration that names another
     /// need not be of a server.
-    fn is_engine(&self, pool: &str) -> bool {
+    fn is_engine_pool(&self, pool: &str) -> bool {
         self.table.as_ref().is_some_and(|table| table.engine(pool).is_some())
     }
 
     /// Engines that lack what was named, by model, with the version.
-    fn wanting(&self) -> Vec<(server::Key, String, u64)> {
-        let mut wanting = Vec::new();
+    fn outdated_engines(&self) -> Vec<(server::Key, String, u64)> {
+        let mut outdated = Vec::new();
         for (key, server) in &self.servers {
-            if server.entry.leaving || !self.is_engine(&server.entry.pool) {
+            if server.entry.leaving || !self.is_engine_pool(&server.entry.pool) {
                 continue;
             }
             for (model, version) in &server.entry.weights {
                 if let Some(wanted) =
-                    self.rollout.named.newest(model).filter(|newest| newest > version)
+                    self.rollout.merged_namings.newest(model).filter(|newest| newest > version)
                 {
-                    wanting.push((key, model.clone(), wanted));
+                    outdated.push((key, model.clone(), wanted));
                 }
             }
         }
-        wanting
+        outdated
     }
 
     /// Takes or renews the lease where engines lack weights, and orders those that are due.
     pub(super) fn roll_out(&mut self, now: Time) {
-        let wanting = self.wanting();
-        if wanting.is_empty() {
-            self.rollout.wanting_since = None;
+        let outdated = self.outdated_engines();
+        if outdated.is_empty() {
+            self.rollout.outdated_since = None;
             return;
         }
-        let since = *self.rollout.wanting_since.get_or_insert(now);
+        let since = *self.rollout.outdated_since.get_or_insert(now);
         // Who does not read the lease would take one that is held.
-        let candidate = self.reads(now, Tracked::Lease)
-            && now >= since + CANDIDATE_STEP * self.rank_among_daemons();
+        let candidate = self.should_read(now, Tracked::Lease)
+            && now >= since + CANDIDATE_DELAY_STEP * self.rank_among_daemons();
         if !self.draining
             && let Some(record) = self.lease.due(now, candidate)
         {
@@ -158,29 +158,29 @@
         if self.draining || !(self.policy.engines_check_fences || self.lease.is_settled(now)) {
             return;
         }
-        self.order_next(now, wanting, fence);
+        self.order_next(now, outdated, fence);
     }
 
-    fn order_next(&mut self, now: Time, mut wanting: Vec<(server::Key, String, u64)>, fence: u64) {
+    fn order_next(&mut self, now: Time, mut outdated: Vec<(server::Key, String, u64)>, fence: u64) {
         let running = |key: &server::Key| {
             self.servers.get(*key).map_or(0, |server| self.load(*key, server).running)
         };
-        wanting.sort_by_key(|(key, model, _)| (!self.is_overdue(now, *key, model), running(key)));
-        for (key, model, version) in wanting {
+        outdated.sort_by_key(|(key, model, _)| (!self.is_urgent(now, *key, model), running(key)));
+        for (key, model, version) in outdated {
             let Some(server) = self.servers.get(key) else { continue };
             if server.ordered.is_some() || server.is_suspect(now) {
                 continue;
             }
             let pool = server.entry.pool.clone();
-            let hurry = self.is_overdue(now, key, &model);
-            if self.loading(now, &pool) >= self.most_loading(&pool, hurry) {
+            let urgent = self.is_urgent(now, key, &model);
+            if self.count_loading(now, &pool) >= self.max_loading(&pool, urgent) {
                 continue;
             }
-            self.order(now, key, model, version, fence);
+            self.order_load(now, key, model, version, fence);
         }
     }
 
-    fn loading(&self, now: Time, pool: &str) -> usize {
+    fn count_loading(&self, now: Time, pool: &str) -> usize {
         let keys = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
         let loads = |key: &&server::Key| {
             self.servers.get(**key).is_some_and(|server| server.is_loading(now))
@@ -190,28 +190,28 @@
 
     /// Whether an engine's weights will soon be too old to begin anything on. What counts is when they
     /// were overtaken: where weights are named again and again, some engine always lacks the newest.
-    fn is_overdue(&self, now: Time, key: server::Key, model: &str) -> bool {
+    fn is_urgent(&self, now: Time, key: server::Key, model: &str) -> bool {
         let version = self.servers.get(key).and_then(|server| server.version(model));
-        let age = version.and_then(|version| self.overtaken_for(now, model, version));
-        age.is_some_and(|age| age >= self.policy.weights_limit.mul_f64(HURRY_AFTER))
+        let age = version.and_then(|version| self.superseded_for(now, model, version));
+        age.is_some_and(|age| age >= self.policy.weights_limit.mul_f64(URGENT_AGE_RATIO))
     }
 
     /// Engines of a pool that may load at a time.
-    fn most_loading(&self, pool: &str, hurry: bool) -> usize {
+    fn max_loading(&self, pool: &str, urgent: bool) -> usize {
         let limit = self.policy.weights_limit;
         let engines = self.pools.get(pool).map_or(1, Vec::len);
-        let loads = self.rollout.loads.get(pool).copied().unwrap_or_default();
-        loads.most(engines, limit, hurry)
+        let loads = self.rollout.limiters.get(pool).copied().unwrap_or_default();
+        loads.max_concurrent(engines, limit, urgent)
     }
 
-    fn order(&mut self, now: Time, key: server::Key, model: String, version: u64, fence: u64) {
+    fn order_load(&mut self, now: Time, key: server::Key, model: String, version: u64, fence: u64) {
         let Some(server) = self.servers.get_mut(key) else { return };
         server.ordered = Some(Ordered {
             model: model.clone(),
             version,
             at: now,
             accepted: false,
-            poll_at: now + FIRST_POLL,
+            poll_at: now + FIRST_POLL_DELAY,
         });
         let entry = &server.entry;
         let effect = Effect::Order {
@@ -237,10 +237,10 @@
     fn poll_ordered(&mut self, now: Time) {
         for (key, server) in &mut self.servers {
             let Some(ordered) = &mut server.ordered else { continue };
-            if now >= ordered.at + ORDER_LOST {
+            if now >= ordered.at + ORDER_TIMEOUT {
                 server.ordered = None;
             } else if now >= ordered.poll_at {
-                ordered.poll_at = now + POLL;
+                ordered.poll_at = now + POLL_INTERVAL;
                 let (id, address) = (server.entry.life.id.clone(), server.entry.address);
                 self.effects.push(Effect::Poll(key, id, address));
             }
@@ -259,7 +259,7 @@
                 }
                 return;
             }
-            OrderEnd::Held => return self.saw_weights(now, key, &ordered.model, ordered.version),
+            OrderEnd::Held => return self.note_weights(now, key, &ordered.model, ordered.version),
             OrderEnd::Conflict | OrderEnd::Unknown => {
                 if let Some(ordered) = &mut server.ordered {
                     ordered.poll_at = now;
@@ -296,12 +296,12 @@
             Known::Ended => return,
         }
         for (model, version) in &state.weights {
-            self.saw_weights(now, key, model, *version);
+            self.note_weights(now, key, model, *version);
         }
         let Some(server) = self.servers.get_mut(key) else { return };
         let Some(ordered) = &server.ordered else { return };
         // A report lags, so an order that was just accepted need not show in it yet.
-        let settled = !ordered.accepted || now >= ordered.at + FIRST_POLL * 2;
+        let settled = !ordered.accepted || now >= ordered.at + FIRST_POLL_DELAY * 2;
         if !state.busy && settled {
             server.entry.sequence = state.sequence;
             server.ordered = None;
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -293,10 +293,10 @@
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         for tracked in Tracked::ALL {
             let reading = self.control.reading(tracked);
-            reading.left_to_others.store(!self.node.reads(now, tracked), Ordering::Release);
-            reading.pace.store(ms(self.node.pace(now, tracked)), Ordering::Release);
-            reading.wait.store(ms(self.node.wait(now, tracked)), Ordering::Release);
-            reading.pause.store(ms(self.node.pause()), Ordering::Release);
+            reading.left_to_others.store(!self.node.should_read(now, tracked), Ordering::Release);
+            reading.pace.store(ms(self.node.read_interval(now, tracked)), Ordering::Release);
+            reading.wait.store(ms(self.node.max_read_wait(now, tracked)), Ordering::Release);
+            reading.pause.store(ms(self.node.retry_delay()), Ordering::Release);
         }
     }
 
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -165,7 +165,7 @@
         match report {
             Report::Begun(weights) => {
                 if let (Some(model), Some(version)) = (&model, weights) {
-                    self.saw_weights(now, server, model, version);
+                    self.note_weights(now, server, model, version);
                 }
                 self.heard(now, server);
                 self.placed_began(now, key, placed);
--- a/src/fleet/tests/naming.rs
+++ b/src/fleet/tests/naming.rs
@@ -196,7 +196,7 @@
         daemon.put(now, Topic::Routers, &routers);
         site.daemons[index] = daemon;
         site.pass(ms(800));
-        let age = site.daemons[index].node.overtaken_for(site.now, "m", 1);
+        let age = site.daemons[index].node.superseded_for(site.now, "m", 1);
         let age = age.expect("version 2 was named");
         let true_age = site.now - named_at;
         let saw = index < 2;
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -67,7 +67,7 @@
     let end = named_at + POLICY.weights_limit;
     site.pass(end + ms(100) - site.now);
     let true_age = site.now - named_at;
-    let ages = site.daemons.iter().map(|daemon| daemon.node.overtaken_for(site.now, "m", 1));
+    let ages = site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
     let ages: Vec<Option<Duration>> = ages.collect();
     for index in 0..3 {
         site.arrive(index, "engines", Repeat::AtMostOnce);
@@ -108,7 +108,7 @@
         now += ms(20);
         recalled |= is_given_up(&daemon.tick(now));
     }
-    let believed = daemon.node.overtaken_for(now, "m", 1);
+    let believed = daemon.node.superseded_for(now, "m", 1);
     assert!(recalled, "not begun {:?} after the naming, believed {believed:?}", now - named_at);
 }
 
@@ -186,7 +186,7 @@
         };
     }
     let sent = send(&mut daemon, ms(12_400)).1;
-    let believed = daemon.node.overtaken_for(ms(12_400), "m", 1);
+    let believed = daemon.node.superseded_for(ms(12_400), "m", 1);
     assert_eq!(sent, None, "{:?} after the naming, believed {believed:?}", ms(12_400) - named_at);
 }
 
@@ -228,6 +228,6 @@
         daemon.tick(ms(time));
     }
     let sent = send(&mut daemon, ms(12_800)).1;
-    let believed = daemon.node.overtaken_for(ms(12_800), "m", 1);
+    let believed = daemon.node.superseded_for(ms(12_800), "m", 1);
     assert_eq!(sent, None, "{:?} after the naming, believed {believed:?}", ms(12_800) - named_at);
 }
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Weights that operators name: who may begin on which, and who orders engines.
 
 use super::world::*;
-use crate::fleet::loading::Loading;
+use crate::fleet::loading::Limiter;
 use crate::fleet::*;
 use crate::prelude::*;
 use crate::route::Repeat;
@@ -295,7 +295,7 @@
     site.run(ms(0), ms(1_000));
     site.name(ms(1_000), 2);
     site.run(ms(1_000), ms(1_200));
-    let wait = |daemon: &Daemon| daemon.node.wait(ms(1_200), Tracked::Lease);
+    let wait = |daemon: &Daemon| daemon.node.max_read_wait(ms(1_200), Tracked::Lease);
     let mut waits: Vec<Duration> = site.daemons.iter().map(wait).collect();
     // Whichever three rank first.
     waits.sort_unstable();
@@ -305,8 +305,8 @@
 
 /// Time until all of `engines` have loaded and the most that did at once, where each load takes
 /// `alone`, and longer while more than `bears` go on, by the square of how many more.
-fn roll(engines: usize, bears: usize, alone: Duration, most: impl Fn(&Loading) -> usize) -> Time {
-    let (mut loading, mut now, mut done, mut begun) = (Loading::default(), ms(0), 0, 0);
+fn roll(engines: usize, bears: usize, alone: Duration, most: impl Fn(&Limiter) -> usize) -> Time {
+    let (mut loading, mut now, mut done, mut begun) = (Limiter::default(), ms(0), 0, 0);
     let mut under_way: Vec<(Time, f64)> = Vec::new();
     while done < engines {
         while begun < engines && under_way.len() < most(&loading) {
@@ -320,7 +320,7 @@
             *part += step;
         }
         for (since, _) in under_way.iter().filter(|(_, part)| *part >= 1.0) {
-            loading.loaded(now, engines, now - *since);
+            loading.note_load(now, engines, now - *since);
             done += 1;
         }
         under_way.retain(|(_, part)| *part < 1.0);
@@ -334,7 +334,7 @@
         [(78, 15, 570), (18, 3, 570), (9, 2, 830), (72, 14, 830), (40, 40, 200), (60, 3, 300)]
     {
         let limit = Duration::from_secs(10);
-        let learnt = roll(engines, bears, ms(alone), |l| l.most(engines, limit, false));
+        let learnt = roll(engines, bears, ms(alone), |l| l.max_concurrent(engines, limit, false));
         let quarter = roll(engines, bears, ms(alone), |_| engines.div_ceil(4));
         // Where a quarter at once is borne, beginning lower costs a little; elsewhere it gains.
         assert!(learnt <= quarter.mul_f64(1.6), "{engines}, {bears}: {learnt:?}, {quarter:?}");
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -158,7 +158,7 @@
     }
 
     fn ask(&mut self, now: Time, node: &Node, delay: Duration) {
-        if self.next.is_some() && !node.reads(now, self.tracked) {
+        if self.next.is_some() && !node.should_read(now, self.tracked) {
             self.wait = Duration::ZERO;
             self.rests_until = now + LEFT_PAUSE;
             return;
@@ -186,7 +186,7 @@
         let (records, whole, to) = match answer {
             Answer::Failed => {
                 self.wait = Duration::ZERO;
-                self.rests_until = now + node.pause();
+                self.rests_until = now + node.retry_delay();
                 return Some(Message::Down(self.tracked, "no answer".into()));
             }
             Answer::Forgotten => {
@@ -196,8 +196,8 @@
             Answer::Lease(records) => {
                 let any = records.is_empty() && node.next_lease() == 0;
                 self.rests_until =
-                    now + if any { STORE_PAUSE } else { node.pace(now, self.tracked) };
-                self.wait = node.wait(now, self.tracked);
+                    now + if any { STORE_PAUSE } else { node.read_interval(now, self.tracked) };
+                self.wait = node.max_read_wait(now, self.tracked);
                 return Some(Message::Lease(0, records));
             }
             Answer::Whole(records, to) => (records, true, to),
@@ -208,11 +208,11 @@
         };
         let Tracked::Topic(topic) = self.tracked else { return None };
         self.rests_until += match (records.is_empty(), to) {
-            (false, _) => node.pace(now, self.tracked),
+            (false, _) => node.read_interval(now, self.tracked),
             (true, 0) => STORE_PAUSE,
             (true, _) => Duration::ZERO,
         };
-        (self.next, self.wait) = (Some(to), node.wait(now, self.tracked));
+        (self.next, self.wait) = (Some(to), node.max_read_wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
         Some(Message::Read(Read { batch, whole, asked }))
     }
