--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -106,7 +106,7 @@
         }
         let terms = self.terms(now);
         for (pool, budget) in &mut self.budgets {
-            let left = budget.left(now, terms);
+            let left = budget.remaining(now, terms);
             figures.push(Figure::of("retries_left", "pool", pool, left));
         }
     }
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -38,9 +38,7 @@
         tokens: u32,
         parts: Vec<u64>,
     ) {
-        let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE_TOKENS) else {
-            return;
-        };
+        let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE_TOKENS) else { return };
         let (life, busy) = (server.entry.life.clone(), server.busy(now));
         if self.is_scheduler(now) {
             // The others are told of its load soon enough, and place nothing at the same servers.
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -38,7 +38,7 @@
 
     pub(super) fn spend(&mut self, now: Time, pool: &str) -> bool {
         let terms = self.terms(now);
-        self.budgets.entry(pool.to_owned()).or_default().spend(now, terms)
+        self.budgets.entry(pool.to_owned()).or_default().try_spend(now, terms)
     }
 
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival) {
@@ -66,7 +66,7 @@
     ) {
         self.sum_others(now);
         let terms = self.terms(now);
-        self.budgets.entry(pool.clone()).or_default().earn(now, terms);
+        self.budgets.entry(pool.clone()).or_default().note_request(now, terms);
         if let Some(prompt) = &arrival.prompt {
             let isolated = arrival.workspace.as_ref().filter(|owner| owner.isolated);
             let owner = isolated.map_or("", |owner| owner.name.as_str());
--- a/src/fleet/retry.rs
+++ b/src/fleet/retry.rs
@@ -8,13 +8,13 @@
 use crate::prelude::*;
 
 /// Share of the budget that is used; the rest is left for windows that slide between daemons.
-const USED_SHARE: f64 = 0.8;
+const USABLE_RATIO: f64 = 0.8;
 
 /// Requests to one pool and repeats among them within a window.
 #[derive(Debug, Default)]
 pub struct Budget {
     requests: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 /// Bounds of a budget.
@@ -30,30 +30,30 @@
 
 impl Budget {
     /// Notes a request.
-    pub fn earn(&mut self, now: Time, terms: Terms) {
+    pub fn note_request(&mut self, now: Time, terms: Terms) {
         self.requests.push_back(now);
-        forget(&mut self.requests, now, terms.window);
+        drop_expired(&mut self.requests, now, terms.window);
     }
 
     /// Repeats that are left in the window that ends now.
-    pub fn left(&mut self, now: Time, terms: Terms) -> u64 {
-        forget(&mut self.requests, now, terms.window);
-        forget(&mut self.repeats, now, terms.window);
-        let allowed = (self.requests.len() as f64 * terms.ratio + terms.slack) * USED_SHARE;
-        (allowed as u64).saturating_sub(self.repeats.len() as u64)
+    pub fn remaining(&mut self, now: Time, terms: Terms) -> u64 {
+        drop_expired(&mut self.requests, now, terms.window);
+        drop_expired(&mut self.retries, now, terms.window);
+        let allowed = (self.requests.len() as f64 * terms.ratio + terms.slack) * USABLE_RATIO;
+        (allowed as u64).saturating_sub(self.retries.len() as u64)
     }
 
     /// Takes a repeat out of the budget; false where none is left.
-    pub fn spend(&mut self, now: Time, terms: Terms) -> bool {
-        let spend = self.left(now, terms) > 0;
-        if spend {
-            self.repeats.push_back(now);
+    pub fn try_spend(&mut self, now: Time, terms: Terms) -> bool {
+        let allowed = self.remaining(now, terms) > 0;
+        if allowed {
+            self.retries.push_back(now);
         }
-        spend
+        allowed
     }
 }
 
-fn forget(times: &mut VecDeque<Time>, now: Time, window: Duration) {
+fn drop_expired(times: &mut VecDeque<Time>, now: Time, window: Duration) {
     while times.front().is_some_and(|time| *time + window < now) {
         times.pop_front();
     }
