--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -50,16 +50,16 @@
             .and("address", server.entry.address)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("cost_ms", choice.cost_ms.round())
-            .and("read_tokens", choice.tokens)
-            .and("held_tokens", choice.held)
-            .and("fetched_tokens", choice.fetched)
+            .and("read_tokens", choice.read_tokens)
+            .and("held_tokens", choice.held_tokens)
+            .and("fetched_tokens", choice.fetched_tokens)
             .and_some("events_ms_ago", server.held.age(now))
             .and("running", load.running)
             .and("running_here", server.running)
-            .and_some("told_ms_ago", load.told_at().map(|at| now.saturating_sub(at)))
+            .and_some("told_ms_ago", load.reported_at().map(|at| now.saturating_sub(at)))
             .and_some("weights", choice.weights)
             .and_some("overtaken_ms", self.overtaken(now, request, choice.weights))
-            .and("home", choice.at_home)
+            .and("home", choice.is_home)
             .and_some("fetch_from", choice.fetch_from)
             .and("save", choice.save_to.is_some());
         let detail = self.beliefs(now, detail);
@@ -84,7 +84,7 @@
     /// believes.
     fn overtaken(&self, now: Time, request: &Request, weights: Option<u64>) -> Option<Duration> {
         let prompt = request.arrival.prompt.as_ref()?;
-        self.overtaken_for(now, &prompt.model, weights?)
+        self.superseded_for(now, &prompt.model, weights?)
     }
 
     /// Logs that the answer to a request began that was sent at time `at`.
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -79,7 +79,7 @@
     pub(super) fn check_weights(&mut self, vm: usize) {
         let versions: BTreeSet<u64> = self.servers.iter().map(|server| server.version).collect();
         for version in versions {
-            let may = |node: &Node| node.may_begin(self.now, "m", version);
+            let may = |node: &Node| node.is_version_allowed(self.now, "m", version);
             if self.node(vm).is_some_and(may) {
                 self.check_begin(vm, version, "may begin on");
             }
@@ -152,7 +152,7 @@
     pub(super) fn check_budget(&mut self) {
         let steady: Vec<usize> = (0..self.vms.len()).filter(|vm| self.is_steady(*vm)).collect();
         let left = |vm: &usize| {
-            Some(Budget::default().left(self.now, self.node(*vm)?.terms(self.now)) as f64)
+            Some(Budget::default().remaining(self.now, self.node(*vm)?.terms(self.now)) as f64)
         };
         let taken: f64 = steady.iter().filter_map(left).sum();
         if let Some(first) = steady.first().filter(|_| taken > POLICY.retry_slack) {
