--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -241,7 +241,7 @@
         let left = Self::longest_absence(now, request);
         let ahead = self.ahead(Turn::of(key, request), &request.pool);
         // At a scheduler everything waits; elsewhere as much is taken to wait at each daemon.
-        let daemons = if self.is_scheduler(now) { 1 } else { self.daemons() };
+        let daemons = if self.is_scheduler(now) { 1 } else { self.daemon_count() };
         let work_ms = (ahead + 1) as f64 * daemons as f64 * each_ms;
         let drained = match at_a_time {
             0 => COME_BACK_SHUT,
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 
 /// Records of keys without a value that are kept for peers, for each topic.
-const MAX_GONE: usize = 4_096;
+const MAX_TOMBSTONES: usize = 4_096;
 
 /// The topics that daemons share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,20 +55,20 @@
 }
 
 #[derive(Debug, Default)]
-struct Shelf {
+struct TopicState {
     records: BTreeMap<String, (u64, Option<Vec<u8>>)>,
     /// The offset before which nothing is missing.
     end: u64,
     /// The offset after the newest record that is known.
     newest: u64,
     /// The offset from which on removals are known too.
-    removals_from: u64,
+    tombstones_from: u64,
 }
 
 /// The newest records by topic and key.
 #[derive(Debug, Default)]
 pub struct Catalog {
-    shelves: BTreeMap<Topic, Shelf>,
+    topics: BTreeMap<Topic, TopicState>,
 }
 
 impl Catalog {
@@ -78,31 +78,31 @@
     /// use cardamomvalve::fleet::{Catalog, Record, Topic};
     /// let mut catalog = Catalog::default();
     /// let record = Record { key: "a".into(), offset: 4, value: Some(vec![1]) };
-    /// assert!(catalog.take(Topic::Servers, &record));
-    /// assert!(!catalog.take(Topic::Servers, &record));
+    /// assert!(catalog.insert(Topic::Servers, &record));
+    /// assert!(!catalog.insert(Topic::Servers, &record));
     /// ```
-    pub fn take(&mut self, topic: Topic, record: &Record) -> bool {
-        let shelf = self.shelves.entry(topic).or_default();
-        let is_new = match shelf.records.get(&record.key) {
+    pub fn insert(&mut self, topic: Topic, record: &Record) -> bool {
+        let state = self.topics.entry(topic).or_default();
+        let is_new = match state.records.get(&record.key) {
             Some((offset, _)) => record.offset > *offset,
             // A key that was in no list of what was left, and is told of late, was removed before it.
-            None => record.offset >= shelf.removals_from,
+            None => record.offset >= state.tombstones_from,
         };
         if !is_new {
             return false;
         }
-        shelf.newest = shelf.newest.max(record.offset + 1);
-        shelf.records.insert(record.key.clone(), (record.offset, record.value.clone()));
+        state.newest = state.newest.max(record.offset + 1);
+        state.records.insert(record.key.clone(), (record.offset, record.value.clone()));
         true
     }
 
     /// The keys that had a value before offset `to` and are not listed, where `whole` lists all that have one
     /// there: their removals, the last of which may lie right before it. Keys that came later may be missing
     /// from the list, whose pages are no snapshot.
-    pub fn missing(&self, topic: Topic, whole: &[Record], to: u64) -> Vec<Record> {
-        let listed: BTreeSet<&str> = whole.iter().map(|record| record.key.as_str()).collect();
-        let Some(shelf) = self.shelves.get(&topic) else { return Vec::new() };
-        shelf
+    pub fn removals(&self, topic: Topic, snapshot: &[Record], to: u64) -> Vec<Record> {
+        let listed: BTreeSet<&str> = snapshot.iter().map(|record| record.key.as_str()).collect();
+        let Some(state) = self.topics.get(&topic) else { return Vec::new() };
+        state
             .records
             .iter()
             .filter(|(key, (offset, value))| {
@@ -114,17 +114,17 @@
 
     /// Notes that everything that was left of a topic at offset `to` was taken: removals before it are in no
     /// such list.
-    pub fn take_whole(&mut self, topic: Topic, to: u64) {
-        let shelf = self.shelves.entry(topic).or_default();
-        if to > shelf.end {
-            shelf.removals_from = to;
+    pub fn mark_snapshot(&mut self, topic: Topic, to: u64) {
+        let state = self.topics.entry(topic).or_default();
+        if to > state.end {
+            state.tombstones_from = to;
         }
-        shelf.end = shelf.end.max(to);
+        state.end = state.end.max(to);
     }
 
     /// Whether every removal from offset `from` on is known.
-    pub fn has_removals(&self, topic: Topic, from: u64) -> bool {
-        self.shelves.get(&topic).is_none_or(|shelf| from >= shelf.removals_from)
+    pub fn has_tombstones(&self, topic: Topic, from: u64) -> bool {
+        self.topics.get(&topic).is_none_or(|state| from >= state.tombstones_from)
     }
 
     /// Notes that every record of a range was taken; whether no record before its end is missing now.
@@ -137,28 +137,28 @@
     /// assert!(catalog.advance(Topic::Servers, 0, 6));
     /// ```
     pub fn advance(&mut self, topic: Topic, from: u64, to: u64) -> bool {
-        let shelf = self.shelves.entry(topic).or_default();
-        let follows = from <= shelf.end;
+        let state = self.topics.entry(topic).or_default();
+        let follows = from <= state.end;
         if follows {
-            shelf.end = shelf.end.max(to);
+            state.end = state.end.max(to);
         }
         follows
     }
 
     /// Whether no record is known that lies after others which are missing.
-    pub fn is_whole(&self, topic: Topic) -> bool {
-        self.shelves.get(&topic).is_none_or(|shelf| shelf.newest <= shelf.end)
+    pub fn is_contiguous(&self, topic: Topic) -> bool {
+        self.topics.get(&topic).is_none_or(|state| state.newest <= state.end)
     }
 
     /// The offset before which no record is missing.
     pub fn end(&self, topic: Topic) -> u64 {
-        self.shelves.get(&topic).map_or(0, |shelf| shelf.end)
+        self.topics.get(&topic).map_or(0, |state| state.end)
     }
 
     /// The newest records of all keys from offset `from`, in order.
     pub fn since(&self, topic: Topic, from: u64) -> Vec<Record> {
-        let Some(shelf) = self.shelves.get(&topic) else { return Vec::new() };
-        let mut records: Vec<Record> = shelf
+        let Some(state) = self.topics.get(&topic) else { return Vec::new() };
+        let mut records: Vec<Record> = state
             .records
             .iter()
             .filter(|(_, (offset, _))| *offset >= from)
@@ -174,21 +174,21 @@
 
     /// Forgets the oldest records of removed keys beyond a bound.
     pub fn trim(&mut self) {
-        for shelf in self.shelves.values_mut() {
-            let mut gone: Vec<u64> = shelf
+        for state in self.topics.values_mut() {
+            let mut tombstones: Vec<u64> = state
                 .records
                 .values()
                 // Past a gap it is not known what else was removed.
-                .filter(|(offset, value)| value.is_none() && *offset < shelf.end)
+                .filter(|(offset, value)| value.is_none() && *offset < state.end)
                 .map(|(offset, _)| *offset)
                 .collect();
-            if gone.len() <= MAX_GONE {
+            if tombstones.len() <= MAX_TOMBSTONES {
                 continue;
             }
-            gone.sort_unstable();
-            let oldest = gone[gone.len() - MAX_GONE];
-            shelf.records.retain(|_, (offset, value)| value.is_some() || *offset >= oldest);
-            shelf.removals_from = shelf.removals_from.max(oldest);
+            tombstones.sort_unstable();
+            let oldest = tombstones[tombstones.len() - MAX_TOMBSTONES];
+            state.records.retain(|_, (offset, value)| value.is_some() || *offset >= oldest);
+            state.tombstones_from = state.tombstones_from.max(oldest);
         }
     }
 }
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -5,7 +5,7 @@
 use prost::Message as _;
 
 use super::scheduling::{Progress, Submission, Verdict};
-use super::{Batch, Keeper, Life, Naming, Notice, Record, Told, Topic};
+use super::{Batch, Holder, Life, Naming, Notice, Record, Topic, Update};
 use crate::poison::{self, Blocked, Fingerprint};
 use crate::prelude::*;
 use crate::quota::Use;
@@ -88,9 +88,9 @@
     /// What a daemon has at one server now.
     Notice(Notice),
     /// What an engine or the KV store keeps.
-    Held(Told),
+    Held(Update),
     /// Wants to be told everything that is kept there: who asks, and of what.
-    AskHeld(String, Keeper),
+    AskHeld(String, Holder),
     /// Wants a server for a request.
     Submission(Box<Submission>),
     /// What became of a request that was submitted.
@@ -179,40 +179,40 @@
     Some(Duration::from_millis(u64::from(number.checked_sub(1)?)))
 }
 
-impl From<Keeper> for wire::Keeper {
-    fn from(keeper: Keeper) -> Self {
+impl From<Holder> for wire::Keeper {
+    fn from(keeper: Holder) -> Self {
         match keeper {
-            Keeper::Engine(life) => Self { server: life.id, born: life.born, store: String::new() },
-            Keeper::Store(address) => {
+            Holder::Engine(life) => Self { server: life.id, born: life.born, store: String::new() },
+            Holder::Store(address) => {
                 Self { server: String::new(), born: 0, store: address.to_string() }
             }
         }
     }
 }
 
-fn named(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
+fn named(keeper: Option<wire::Keeper>) -> Result<Holder, Malformed> {
     let keeper = keeper.ok_or_else(|| Malformed("the frame names no keeper".into()))?;
     if !keeper.server.is_empty() {
-        return Ok(Keeper::Engine(Life::new(keeper.server, keeper.born)));
+        return Ok(Holder::Engine(Life::new(keeper.server, keeper.born)));
     }
     let address = keeper.store.parse();
-    address.map(Keeper::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
+    address.map(Holder::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
 }
 
-impl From<Told> for wire::Held {
-    fn from(told: Told) -> Self {
+impl From<Update> for wire::Held {
+    fn from(told: Update) -> Self {
         Self {
             daemon: told.daemon,
-            keeper: Some(told.keeper.into()),
-            number: told.number,
-            whole: told.whole,
+            keeper: Some(told.holder.into()),
+            number: told.sequence,
+            whole: told.full,
             parts: told.changes.iter().map(|(part, _)| *part).collect(),
             tokens: told.changes.iter().map(|(_, tokens)| *tokens).collect(),
         }
     }
 }
 
-impl TryFrom<wire::Held> for Told {
+impl TryFrom<wire::Held> for Update {
     type Error = Malformed;
 
     fn try_from(held: wire::Held) -> Result<Self, Malformed> {
@@ -221,9 +221,9 @@
         }
         Ok(Self {
             daemon: held.daemon,
-            keeper: named(held.keeper)?,
-            number: held.number,
-            whole: held.whole,
+            holder: named(held.keeper)?,
+            sequence: held.number,
+            full: held.whole,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
         })
     }
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::peer::{INTERVAL, Peer};
+use super::peer::{DIGEST_INTERVAL, Peer};
 use super::scheduling::Standing;
 use super::{Batch, Busy, Digest, Effect, Frame, Life, Node, Topic};
 use crate::prelude::*;
@@ -12,32 +12,32 @@
 const MIN_FANOUT: usize = 8;
 /// Peers for each of which daemons that do not schedule wait one interval longer between two digests,
 /// so that the schedulers take as many a second however many daemons there are.
-const PEERS_AN_INTERVAL: usize = 48;
+const PEERS_PER_INTERVAL: usize = 48;
 /// Intervals between two digests at most.
-const MOST_INTERVALS: usize = 4;
+const MAX_INTERVALS: usize = 4;
 /// Intervals between two digests of a scheduler to daemons that do not schedule: what they go by is that
 /// it is there, and what it has read.
-const ANNOUNCED_EVERY: u32 = 2;
+const ANNOUNCEMENT_INTERVALS: u32 = 2;
 /// Time between two digests to a peer that was not heard of.
 const SILENT_INTERVAL: Duration = Duration::from_secs(2);
 /// Time for which the store may be behind a peer before the peer is asked.
-const BEHIND: Duration = Duration::from_millis(250);
+const CATCH_UP_DELAY: Duration = Duration::from_millis(250);
 /// Time for which weights that were seen are told.
-const TELL_WEIGHTS: Duration = Duration::from_millis(2_500);
+const SEEN_WEIGHTS_LIFETIME: Duration = Duration::from_millis(2_500);
 /// Time between two digests that tell of hot parts: work is measured over some ten seconds.
 const HEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for which what a peer told of hot parts counts.
 const HEAT_LIFETIME: Duration = Duration::from_secs(15);
 /// Parts that a digest tells of: more than can be hot at a time.
-const HEAT_PARTS: usize = 24;
+const MAX_HOT_PARTS: usize = 24;
 /// Peers that are told of new records at once by a daemon that does not schedule.
-const TOLD_PEERS: usize = 3;
+const FORWARD_FANOUT: usize = 3;
 /// Daemons that are assumed to share the retry budget until their registrations are read.
 const ASSUMED_DAEMONS: usize = 16;
 
 impl Node {
     /// Takes over that another daemon registered, on a VM with so many cores where it says so.
-    pub(super) fn meet(&mut self, now: Time, id: String, address: SocketAddr, cores: f32) {
+    pub(super) fn register_peer(&mut self, now: Time, id: String, address: SocketAddr, cores: f32) {
         if id == self.identity.id {
             return;
         }
@@ -47,34 +47,34 @@
             None => {
                 self.peers.remove(&address.to_string());
                 self.peers.insert(id, Peer::new(address, standing));
-                self.next_digest = self.next_digest.min(now + INTERVAL / 5);
+                self.next_digest = self.next_digest.min(now + DIGEST_INTERVAL / 5);
             }
         }
     }
 
     /// Peers that were heard of lately.
-    fn fresh(&self, now: Time) -> impl Iterator<Item = (&String, &Peer)> {
+    fn live_peers(&self, now: Time) -> impl Iterator<Item = (&String, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_fresh(now))
     }
 
     /// Daemons that share the retry budget.
-    pub(super) fn daemons(&self) -> usize {
+    pub(super) fn daemon_count(&self) -> usize {
         if self.known.contains(&Topic::Routers) { self.peers.len() + 1 } else { ASSUMED_DAEMONS }
     }
 
     /// Peers that were heard of, and when.
     pub(super) fn heard_peers(&self) -> impl Iterator<Item = (&str, Time)> {
-        self.peers.iter().filter_map(|(id, peer)| Some((id.as_str(), peer.heard?)))
+        self.peers.iter().filter_map(|(id, peer)| Some((id.as_str(), peer.heard_at?)))
     }
 
     /// How many peers were heard of lately.
-    pub(super) fn fresh_peers(&self, now: Time) -> usize {
-        self.fresh(now).count()
+    pub(super) fn fresh_peer_count(&self, now: Time) -> usize {
+        self.live_peers(now).count()
     }
 
     /// Where the peers listen that were heard of lately.
-    pub(super) fn fresh_addresses(&self, now: Time) -> Vec<SocketAddr> {
-        self.fresh(now).map(|(_, peer)| peer.address).collect()
+    pub(super) fn fresh_peer_addresses(&self, now: Time) -> Vec<SocketAddr> {
+        self.live_peers(now).map(|(_, peer)| peer.address).collect()
     }
 
     /// Where a peer listens.
@@ -89,25 +89,25 @@
             self.others_are_stale = true;
             self.send_digests(now);
         }
-        self.ask_for_records(now);
+        self.request_missing_records(now);
     }
 
     /// Sends digests: a scheduler's to all, any other daemon's to the schedulers and a few others.
     pub(super) fn send_digests(&mut self, now: Time) {
-        self.rollout.seen.retain(|(.., at)| now < *at + TELL_WEIGHTS);
+        self.rollout.seen.retain(|(.., at)| now < *at + SEEN_WEIGHTS_LIFETIME);
         let schedules = self.is_scheduler(now);
-        let interval = if schedules { INTERVAL } else { self.interval() };
+        let interval = if schedules { DIGEST_INTERVAL } else { self.digest_interval() };
         self.next_digest = now + interval;
-        let (schedulers, others) = self.due(now, schedules);
+        let (schedulers, others) = self.due_peers(now, schedules);
         let mut digest = Digest { interval, ..self.digest(now) };
         if now >= self.next_heat {
             self.next_heat = now + HEAT_INTERVAL;
-            let hottest = self.heat.top(now, HEAT_PARTS).into_iter();
+            let hottest = self.heat.top(now, MAX_HOT_PARTS).into_iter();
             digest.heat = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
         }
         if schedules {
             let announced = Digest {
-                interval: INTERVAL * ANNOUNCED_EVERY,
+                interval: DIGEST_INTERVAL * ANNOUNCEMENT_INTERVALS,
                 busy: BTreeMap::new(),
                 heat: Vec::new(),
                 refused: Vec::new(),
@@ -125,7 +125,7 @@
     fn send_digest(&mut self, now: Time, to: &[String], digest: Digest) {
         let addresses = to.iter().filter_map(|id| {
             let peer = self.peers.get_mut(id)?;
-            peer.sent = Some(now);
+            peer.sent_at = Some(now);
             Some(peer.address)
         });
         let addresses: Vec<SocketAddr> = addresses.collect();
@@ -135,29 +135,29 @@
     }
 
     /// Time between two digests of a daemon that does not schedule.
-    fn interval(&self) -> Duration {
-        let intervals = self.peers.len().div_ceil(PEERS_AN_INTERVAL).clamp(1, MOST_INTERVALS);
-        INTERVAL * u32::try_from(intervals).unwrap_or(1)
+    fn digest_interval(&self) -> Duration {
+        let intervals = self.peers.len().div_ceil(PEERS_PER_INTERVAL).clamp(1, MAX_INTERVALS);
+        DIGEST_INTERVAL * u32::try_from(intervals).unwrap_or(1)
     }
 
     /// The peers that a digest goes to now, the schedulers first: of the others all that have not been
     /// told for some time where this daemon schedules or stops, or else those that have waited longest.
-    fn due(&self, now: Time, schedules: bool) -> (Vec<String>, Vec<String>) {
+    fn due_peers(&self, now: Time, schedules: bool) -> (Vec<String>, Vec<String>) {
         let (mut schedulers, mut others) = (Vec::new(), Vec::new());
         let ranking: BTreeSet<&String> = self.other_schedulers().map(|(id, _)| id).collect();
         for (id, peer) in &self.peers {
             let interval = match (peer.is_fresh(now), ranking.contains(id)) {
                 (_, true) => Duration::ZERO,
                 (true, false) if self.draining => Duration::ZERO,
-                (true, false) => INTERVAL * ANNOUNCED_EVERY,
+                (true, false) => DIGEST_INTERVAL * ANNOUNCEMENT_INTERVALS,
                 (false, false) => SILENT_INTERVAL,
             };
             // Ticks come a little early or late.
-            if peer.sent.is_some_and(|sent| now + INTERVAL / 5 < sent + interval) {
+            if peer.sent_at.is_some_and(|sent| now + DIGEST_INTERVAL / 5 < sent + interval) {
                 continue;
             }
             let due = if ranking.contains(id) { &mut schedulers } else { &mut others };
-            due.push((peer.sent, id));
+            due.push((peer.sent_at, id));
         }
         if !schedules && !self.draining {
             others.sort_unstable();
@@ -179,7 +179,7 @@
             daemon: self.identity.id.clone(),
             address: self.identity.address.to_string(),
             cores: self.identity.cores,
-            interval: INTERVAL,
+            interval: DIGEST_INTERVAL,
             read_ages: self.read_ages(now),
             incarnation: self.identity.incarnation,
             draining: self.draining,
@@ -188,7 +188,7 @@
             weights: seen.map(|(life, model, v, _)| (life.clone(), model.clone(), *v)).collect(),
             heat: Vec::new(),
             refused: self.expected.own(),
-            link_moved: self.link.moved(),
+            link_moved: self.link.moved_bytes(),
             blocked: self.poison.unkept(now),
             sent: now,
             named: self.rollout.seen_named.told(now, self.policy.weights_limit),
@@ -199,28 +199,28 @@
     }
 
     /// Takes a frame from a peer.
-    pub(super) fn frame(&mut self, now: Time, frame: Frame) {
+    pub(super) fn handle_frame(&mut self, now: Time, frame: Frame) {
         match frame {
-            Frame::Digest(digest) => self.digest_came(now, *digest),
+            Frame::Digest(digest) => self.handle_digest(now, *digest),
             Frame::Notice(notice) => self.notice_came(now, notice),
-            Frame::Held(told) => self.told_came(now, &told),
-            Frame::AskHeld(daemon, keeper) => self.asked_held(&daemon, keeper),
+            Frame::Held(told) => self.handle_residency_update(now, &told),
+            Frame::AskHeld(daemon, keeper) => self.send_full_residency(&daemon, keeper),
             Frame::Submission(submission) => self.submission_came(now, *submission),
             Frame::Progress(progress) => self.progress_came(now, progress),
             Frame::Verdict(verdict) => self.verdict_came(now, *verdict),
             Frame::Poison(message) => self.poison_came(now, message),
-            Frame::Ask(daemon, topic, from) => self.asked(&daemon, topic, from),
+            Frame::Ask(daemon, topic, from) => self.send_records(&daemon, topic, from),
             Frame::Records(batch) => {
-                self.hear_topic(batch.topic, |node| node.take(now, batch, true));
+                self.apply_from_peer(batch.topic, |node| node.apply_batch(now, batch, true));
             }
             Frame::Snapshot(batch) => {
-                self.hear_topic(batch.topic, |node| node.take_whole(now, batch));
+                self.apply_from_peer(batch.topic, |node| node.apply_snapshot(now, batch));
             }
         }
     }
 
     /// Answers a peer that wants the records of a topic from an offset.
-    fn asked(&mut self, daemon: &str, topic: Topic, from: u64) {
+    fn send_records(&mut self, daemon: &str, topic: Topic, from: u64) {
         let Some(peer) = self.peers.get(daemon) else { return };
         if !self.known.contains(&topic) {
             return;
@@ -228,7 +228,7 @@
         let to = self.catalog.end(topic);
         // A daemon that read what was left knows of no removals before: with the records from then on alone,
         // the peer would keep what is gone, and take what it missed for read.
-        let frame = if self.catalog.has_removals(topic, from) {
+        let frame = if self.catalog.has_tombstones(topic, from) {
             Frame::Records(Batch { topic, from, to, records: self.catalog.since(topic, from) })
         } else {
             Frame::Snapshot(Batch { topic, from: 0, to, records: self.catalog.since(topic, 0) })
@@ -237,7 +237,7 @@
     }
 
     /// Takes over what a peer tells of a topic, which may be all that was missing of it.
-    fn hear_topic(&mut self, topic: Topic, take: impl FnOnce(&mut Self)) {
+    fn apply_from_peer(&mut self, topic: Topic, take: impl FnOnce(&mut Self)) {
         let was_known = self.known.contains(&topic);
         take(self);
         if !was_known && self.known.contains(&topic) {
@@ -249,21 +249,21 @@
 
     /// Tells peers of new records: the scheduler of the topic all that it hears of, any other daemon a
     /// few, who tell others. Who is missed asks by the digests.
-    pub(super) fn tell_records(&mut self, now: Time, batch: Batch) {
-        let mut addresses = self.fresh_addresses(now);
+    pub(super) fn forward_records(&mut self, now: Time, batch: Batch) {
+        let mut addresses = self.fresh_peer_addresses(now);
         let schedules = self.is_scheduler(now);
         if !schedules || self.scheduler_of(now, &format!("{:?}", batch.topic)).is_some() {
             self.rng.shuffle(&mut addresses);
-            addresses.truncate(TOLD_PEERS);
+            addresses.truncate(FORWARD_FANOUT);
         }
         if !addresses.is_empty() {
             self.effects.push(Effect::Send(addresses, Frame::Records(batch)));
         }
     }
 
-    fn digest_came(&mut self, now: Time, digest: Digest) {
+    fn handle_digest(&mut self, now: Time, digest: Digest) {
         if let Ok(address) = digest.address.parse() {
-            self.meet(now, digest.daemon.clone(), address, digest.cores);
+            self.register_peer(now, digest.daemon.clone(), address, digest.cores);
         }
         for (life, model, version) in &digest.weights {
             if let Some(key) = self.lives.server(life) {
@@ -279,10 +279,10 @@
             let known =
                 peer.digest.as_ref().filter(|known| known.incarnation == digest.incarnation);
             let moved = known.map(|known| digest.link_moved.saturating_sub(known.link_moved));
-            self.link.take_off(moved.unwrap_or_default());
+            self.link.deduct(moved.unwrap_or_default());
             let restarted =
                 peer.digest.as_ref().is_some_and(|known| known.incarnation != digest.incarnation);
-            peer.heard = Some(now);
+            peer.heard_at = Some(now);
             if !digest.heat.is_empty() {
                 peer.heat = digest.heat.iter().copied().collect();
                 peer.heat_at = now;
@@ -290,12 +290,12 @@
             let (daemon, incarnation) = (digest.daemon.clone(), digest.incarnation);
             let told_before = peer.digest.as_ref().is_some_and(|known| !known.named.is_empty());
             self.rollout.named_is_stale |= told_before || !digest.named.is_empty();
-            peer.came(now, &digest);
-            let delay = peer.delay();
+            peer.record_digest(now, &digest);
+            let delay = peer.digest_delay();
             let told =
                 (digest.ends.get(Topic::Operator as usize).copied(), digest.missed_nothing_for);
             peer.digest = Some(digest);
-            self.hear_missed_nothing(now, told, delay);
+            self.apply_peer_completeness(now, told, delay);
             if restarted {
                 self.has_restarted(now, &daemon, incarnation);
             }
@@ -305,7 +305,7 @@
 
     /// Takes over that a peer which knew of records up to an end had missed nothing that operators published for some
     /// time, where this daemon lacks nothing that the peer has.
-    fn hear_missed_nothing(
+    fn apply_peer_completeness(
         &mut self,
         now: Time,
         (end, age): (Option<u64>, Option<Duration>),
@@ -314,13 +314,13 @@
         let ahead = end.is_none_or(|end| end > self.catalog.end(Topic::Operator));
         // What was before this daemon's clock began tells nothing of the time since.
         let at = age.and_then(|age| now.checked_sub(age.saturating_add(delay)));
-        if let Some(at) = at.filter(|_| !ahead && self.lacks_nothing()) {
+        if let Some(at) = at.filter(|_| !ahead && self.has_all_operator_records()) {
             self.missed_nothing(at);
         }
     }
 
     /// Takes over what a peer has at one server now.
-    pub(super) fn peer_has(&mut self, daemon: &str, life: Life, busy: Busy) {
+    pub(super) fn set_peer_load(&mut self, daemon: &str, life: Life, busy: Busy) {
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
@@ -329,20 +329,20 @@
     }
 
     /// Milliseconds of work a second that peers have for a part, as far as they told of it.
-    pub(super) fn told_heat(&self, now: Time, part: u64) -> f64 {
+    pub(super) fn peer_heat(&self, now: Time, part: u64) -> f64 {
         let told = self.peers.values().filter(|peer| now < peer.heat_at + HEAT_LIFETIME);
         told.filter_map(|peer| peer.heat.get(&part)).map(|work_ms| f64::from(*work_ms)).sum()
     }
 
     /// Adds up what peers have at each server, where they told something new: many digests come between
     /// two requests.
-    pub(super) fn sum_others(&mut self, now: Time) {
+    pub(super) fn sum_peer_load(&mut self, now: Time) {
         if !std::mem::take(&mut self.others_are_stale) {
             return;
         }
         self.others.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
-            let (Some(digest), Some(told)) = (&peer.digest, peer.heard) else { continue };
+            let (Some(digest), Some(told)) = (&peer.digest, peer.heard_at) else { continue };
             for (life, busy) in &digest.busy {
                 if let Some(key) = self.lives.server(life) {
                     self.others.entry(key).or_default().add(told, busy);
@@ -351,11 +351,11 @@
         }
     }
 
-    fn ask_for_records(&mut self, now: Time) {
+    fn request_missing_records(&mut self, now: Time) {
         for (index, topic) in Topic::ALL.into_iter().enumerate() {
             let own = self.catalog.end(topic);
             let ahead = self
-                .fresh(now)
+                .live_peers(now)
                 .filter_map(|(_, peer)| {
                     Some((*peer.digest.as_ref()?.ends.get(index)?, peer.address))
                 })
@@ -365,7 +365,7 @@
                 self.behind.remove(&topic);
                 continue;
             };
-            if now >= *self.behind.entry(topic).or_insert(now) + BEHIND {
+            if now >= *self.behind.entry(topic).or_insert(now) + CATCH_UP_DELAY {
                 self.behind.insert(topic, now);
                 let frame = Frame::Ask(self.identity.id.clone(), topic, own);
                 self.effects.push(Effect::Send(vec![address], frame));
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -92,7 +92,7 @@
     /// Milliseconds of work a second that all daemons have for a part: this one's, and the hottest of
     /// each peer's.
     fn work_ms(&self, now: Time, part: u64) -> f64 {
-        self.heat.rate(now, prefix::Key(part)) + self.told_heat(now, part)
+        self.heat.rate(now, prefix::Key(part)) + self.peer_heat(now, part)
     }
 
     /// Notes the work of a request for each part that it shares.
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Batch, Entry, EventsRead, Frame, Place, Prompt, Topic, server};
+use super::{Batch, Entry, EventBatch, Frame, Location, Prompt, Topic, server};
 use crate::poison::{Answer, Blocked, Fingerprint, Victim};
 use crate::prelude::*;
 use crate::route::{Route, Table, Workspace};
@@ -245,7 +245,7 @@
     /// An engine reported, or could not be asked.
     Polled(server::Key, Option<State>),
     /// Events of what keeps parts were read, or could not be.
-    Events(Place, Option<EventsRead>),
+    Events(Location, Option<EventBatch>),
     /// A look was taken at the port of a server that may have ended.
     Probed(Victim, Answer),
     /// A frame came from a peer.
@@ -287,7 +287,7 @@
     /// Read the events of what keeps parts, waiting for some.
     ReadEvents {
         /// Whose events.
-        place: Place,
+        place: Location,
         /// Where it listens.
         address: SocketAddr,
         /// The number of the first event wanted.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -51,7 +51,7 @@
 pub use node::{Identity, Node, Policy};
 pub use notice::Notice;
 pub use prompt::{Part, Prompt};
-pub use residency::{EventsRead, Keeper, Place, Stored, Told};
+pub use residency::{CacheEvent, EventBatch, Holder, Location, Update};
 pub use retry::Budget;
 #[cfg(test)]
 pub(crate) use run::Letter;
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -12,12 +12,12 @@
 use super::peer::Peer;
 use super::quotas::Keeping;
 use super::request::Request;
-use super::residency::{Kept, Link, Reading};
+use super::residency::{EventPoll, Link, StoreState};
 use super::rollout::Rollout;
 use super::scheduling::{Ranking, Served};
 use super::{
-    Budget, Catalog, Change, Command, Counts, Effect, Key, Message, Place, Record, Server, Topic,
-    Tracked, server,
+    Budget, Catalog, Change, Command, Counts, Effect, Key, Location, Message, Record, Server,
+    Topic, Tracked, server,
 };
 use crate::lease;
 use crate::placement::Heat;
@@ -105,9 +105,9 @@
     /// Work by shared part.
     pub(super) heat: Heat,
     /// What the KV store keeps.
-    pub(super) kept: Kept,
+    pub(super) kept: StoreState,
     /// When what keeps parts is read.
-    pub(super) readings: BTreeMap<Place, Reading>,
+    pub(super) readings: BTreeMap<Location, EventPoll>,
     /// Its link.
     pub(super) link: Link,
     pub(super) lease: lease::State,
@@ -155,7 +155,7 @@
             drains: BTreeMap::new(),
             expected: Expected::default(),
             budgets: BTreeMap::new(),
-            peers: Peer::seeds(seeds, identity.address),
+            peers: Peer::from_seeds(seeds, identity.address),
             ranking: Ranking::default(),
             served: Served::default(),
             asked: BTreeSet::new(),
@@ -168,7 +168,7 @@
             watch: poison::Watch::default(),
             next_poison_look: Time::ZERO,
             heat: Heat::default(),
-            kept: Kept::default(),
+            kept: StoreState::default(),
             readings: BTreeMap::new(),
             link: Link::default(),
             lease,
@@ -197,17 +197,17 @@
         match message {
             Message::Arrive(arrival) => self.arrive(now, *arrival),
             Message::Report { request, attempt, report } => {
-                self.report(now, request, attempt, report);
+                self.handle_report(now, request, attempt, report);
             }
             Message::Leave(request) => self.forget(now, request),
-            Message::Read(read) => self.read(now, read),
-            Message::Down(tracked, reason) => self.went_down(now, tracked, &reason),
+            Message::Read(read) => self.handle_read(now, read),
+            Message::Down(tracked, reason) => self.mark_unreadable(now, tracked, &reason),
             Message::Lease(first, records) => self.lease_read(now, first, &records),
             Message::Ordered(server, end) => self.order_ended(now, server, end),
             Message::Polled(server, state) => self.polled(now, server, state),
-            Message::Events(place, read) => self.events_read(now, place, read.as_ref()),
+            Message::Events(place, read) => self.handle_cache_events(now, place, read.as_ref()),
             Message::Probed(victim, answer) => self.probed(now, victim, answer),
-            Message::Frame(frame) => self.frame(now, frame),
+            Message::Frame(frame) => self.handle_frame(now, frame),
             Message::Stop => self.stop(now),
             Message::StopEnds => self.stop_ends(now),
             Message::Tick => self.tick(now),
@@ -288,10 +288,10 @@
         self.gossip(now);
         self.look_at_namings(now);
         self.read_events(now);
-        self.sum_others(now);
+        self.sum_peer_load(now);
         self.look_at_unanswered(now);
         self.look_at_poison(now);
-        self.drop_lapsed(now);
+        self.remove_lapsed(now);
         self.look_at_schedulers(now);
         self.look_at_served(now);
         self.roll_out(now);
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -61,7 +61,7 @@
                 server.held.note_sent(now, part);
             }
         }
-        self.peer_has(&daemon, life, busy);
+        self.set_peer_load(&daemon, life, busy);
     }
 }
 
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -124,7 +124,7 @@
             Tracked::Topic(Topic::Routers) => ROUTERS,
             Tracked::Topic(Topic::Servers) if self.is_relied_on(now) => SERVERS_LEAST,
             Tracked::Topic(Topic::Servers) => {
-                let daemons = u32::try_from(self.fresh_peers(now) + 1).unwrap_or(u32::MAX);
+                let daemons = u32::try_from(self.fresh_peer_count(now) + 1).unwrap_or(u32::MAX);
                 SERVERS_TOGETHER.saturating_mul(daemons).clamp(SERVERS_LEAST, SERVERS_MOST)
             }
             Tracked::Lease if self.rank_among_daemons() < LEASE_CANDIDATES => LEASE_SOON,
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -7,16 +7,16 @@
 use crate::prelude::*;
 
 /// Time between two digests.
-pub(super) const INTERVAL: Duration = Duration::from_millis(250);
+pub(super) const DIGEST_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after which a peer's digest no longer counts, beyond the time to its second next one.
-const GRACE: Duration = Duration::from_millis(750);
+const DIGEST_GRACE: Duration = Duration::from_millis(750);
 
 /// By how many milliseconds this daemon's clock was ahead of a peer's as its digests came.
 #[derive(Debug, Clone, Copy)]
-struct Ahead {
+struct ClockOffset {
     incarnation: u64,
-    least: i64,
-    last: i64,
+    min_ms: i64,
+    last_ms: i64,
 }
 
 /// What is known of a peer.
@@ -27,17 +27,17 @@
     /// Its place among those that may schedule, once its VM's size is known.
     pub(super) standing: Option<Standing>,
     pub(super) digest: Option<Digest>,
-    pub(super) heard: Option<Time>,
+    pub(super) heard_at: Option<Time>,
     /// Since when it ranks among the schedulers, heard of or not.
-    ranks_since: Option<Time>,
+    ranked_since: Option<Time>,
     /// Until when it is submitted nothing.
     avoid_until: Time,
     /// When a frame was last sent to it.
-    pub(super) sent: Option<Time>,
+    pub(super) sent_at: Option<Time>,
     /// Its work by part, and when it told of it.
     pub(super) heat: BTreeMap<u64, f32>,
     pub(super) heat_at: Time,
-    ahead: Option<Ahead>,
+    clock_offset: Option<ClockOffset>,
 }
 
 impl Peer {
@@ -47,42 +47,42 @@
             address,
             standing,
             digest: None,
-            heard: None,
-            ranks_since: None,
+            heard_at: None,
+            ranked_since: None,
             avoid_until: Time::ZERO,
-            sent: None,
+            sent_at: None,
             heat: BTreeMap::new(),
             heat_at: Time::ZERO,
-            ahead: None,
+            clock_offset: None,
         }
     }
 
     /// Peers that may be at these addresses, under the address until their ids are known.
-    pub(super) fn seeds(seeds: &[SocketAddr], own: SocketAddr) -> BTreeMap<String, Self> {
+    pub(super) fn from_seeds(seeds: &[SocketAddr], own: SocketAddr) -> BTreeMap<String, Self> {
         let others = seeds.iter().filter(|seed| **seed != own);
         others.map(|seed| (seed.to_string(), Self::new(*seed, None))).collect()
     }
 
     /// Notes when a digest came.
-    pub(super) fn came(&mut self, now: Time, digest: &Digest) {
-        let ms = |time: Time| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
-        let last = ms(now).saturating_sub(ms(digest.sent));
-        let known = self.ahead.filter(|ahead| ahead.incarnation == digest.incarnation);
-        let least = known.map_or(last, |ahead| ahead.least.min(last));
-        self.ahead = Some(Ahead { incarnation: digest.incarnation, least, last });
+    pub(super) fn record_digest(&mut self, now: Time, digest: &Digest) {
+        let millis = |time: Time| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
+        let last_ms = millis(now).saturating_sub(millis(digest.sent));
+        let known = self.clock_offset.filter(|offset| offset.incarnation == digest.incarnation);
+        let min_ms = known.map_or(last_ms, |offset| offset.min_ms.min(last_ms));
+        self.clock_offset = Some(ClockOffset { incarnation: digest.incarnation, min_ms, last_ms });
     }
 
     /// How long its last digest was on its way beyond the quickest one: ages that waited in a connection, for a daemon
     /// that was frozen or a link that was cut, would be too low.
-    pub(super) fn delay(&self) -> Duration {
-        let delay = self.ahead.map_or(0, |ahead| ahead.last.abs_diff(ahead.least));
+    pub(super) fn digest_delay(&self) -> Duration {
+        let delay = self.clock_offset.map_or(0, |offset| offset.last_ms.abs_diff(offset.min_ms));
         Duration::from_millis(delay)
     }
 
     /// Whether it was heard of lately.
     pub(super) fn is_fresh(&self, now: Time) -> bool {
-        let interval = self.digest.as_ref().map_or(INTERVAL, |digest| digest.interval);
-        self.heard.is_some_and(|heard| now < heard + interval * 2 + GRACE)
+        let interval = self.digest.as_ref().map_or(DIGEST_INTERVAL, |digest| digest.interval);
+        self.heard_at.is_some_and(|heard| now < heard + interval * 2 + DIGEST_GRACE)
     }
 
     /// Whether it said that it is stopping.
@@ -91,19 +91,19 @@
     }
 
     /// Whether it was waited for in vain since it ranks among the schedulers, or is stopping.
-    pub(super) fn has_fallen_silent(&self, now: Time, after: Duration) -> bool {
-        let waited =
-            |since: Time| now >= self.heard.map_or(since, |heard| heard.max(since)) + after;
-        self.is_draining() || self.ranks_since.is_some_and(waited)
+    pub(super) fn is_silent_or_draining(&self, now: Time, after: Duration) -> bool {
+        let is_overdue =
+            |since: Time| now >= self.heard_at.map_or(since, |heard| heard.max(since)) + after;
+        self.is_draining() || self.ranked_since.is_some_and(is_overdue)
     }
 
     /// Notes whether it ranks among the schedulers; one that was waited for in vain is waited for again
     /// only once it is heard of.
-    pub(super) fn watch(&mut self, now: Time, ranks: bool, after: Duration) {
+    pub(super) fn update_rank(&mut self, now: Time, ranks: bool, after: Duration) {
         if ranks {
-            self.ranks_since.get_or_insert(now);
-        } else if !self.has_fallen_silent(now, after) {
-            self.ranks_since = None;
+            self.ranked_since.get_or_insert(now);
+        } else if !self.is_silent_or_draining(now, after) {
+            self.ranked_since = None;
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// How old what it has read of a topic in the platform's store is, by its last word.
     pub(super) fn read_age(&self, now: Time, topic: Topic) -> Option<Duration> {
-        let told = *self.digest.as_ref()?.read_ages.get(topic as usize)?;
-        Some(now.saturating_sub(self.heard?) + told?)
+        let age = *self.digest.as_ref()?.read_ages.get(topic as usize)?;
+        Some(now.saturating_sub(self.heard_at?) + age?)
     }
 }
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -7,8 +7,8 @@
 use super::notice::LARGE;
 use super::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, own_ms, salt, shared_tokens};
 use super::request::Request;
-use super::residency::{Sources, Supply};
-use super::{Key, Node, Place, Prompt, Server, Topic, server};
+use super::residency::{FetchPlan, Sources};
+use super::{Key, Location, Node, Prompt, Server, Topic, server};
 use crate::prelude::*;
 
 /// Milliseconds of delay that a shared token is worth which a server lacks and another holds: a
@@ -89,8 +89,8 @@
 impl Wish<'_> {
     /// Milliseconds that the shared tokens cost which are read, or may have to be. Somebody has to read
     /// what nobody holds: a home, unless it was waited for in vain.
-    fn again_ms(&self, role: Role, supply: &Supply) -> f64 {
-        let tokens = f64::from(supply.read + supply.unsure);
+    fn again_ms(&self, role: Role, supply: &FetchPlan) -> f64 {
+        let tokens = f64::from(supply.prefill_tokens + supply.unconfirmed_tokens);
         match role {
             Role::Other if self.waits => tokens * AGAIN_MS_PER_TOKEN,
             Role::Home | Role::StandIn | Role::Other => tokens / PREFILL_TOKENS_PER_MS,
@@ -160,7 +160,7 @@
     ) -> Option<Choice> {
         let wish = self.wish(now, request, prompt, usable);
         let mut by_version: BTreeMap<u64, (String, Sources)> = BTreeMap::new();
-        let mut best: Option<(Choice, Supply)> = None;
+        let mut best: Option<(Choice, FetchPlan)> = None;
         for (key, server) in usable {
             let Some(version) = server.version(&prompt.model) else { continue };
             let (salt, sources) = by_version.entry(version).or_insert_with(|| {
@@ -169,7 +169,7 @@
                 (salt, sources)
             });
             let found = self.offer(now, &wish, *key, server, salt, sources);
-            let cost = |found: &Option<(Choice, Supply)>| {
+            let cost = |found: &Option<(Choice, FetchPlan)>| {
                 found.as_ref().map_or(f64::INFINITY, |(choice, _)| choice.cost_ms)
             };
             if cost(&found) < cost(&best) {
@@ -213,7 +213,7 @@
         server: &Server,
         salt: &str,
         sources: &Sources,
-    ) -> Option<(Choice, Supply)> {
+    ) -> Option<(Choice, FetchPlan)> {
         let prompt = wish.prompt;
         let version = server.version(&prompt.model)?;
         let old_ms = self.old_weights_ms(now, &prompt.model, version)?;
@@ -226,10 +226,12 @@
         let held = match role {
             Role::Home if !server.held.is_current(now) => shared,
             Role::Home | Role::StandIn | Role::Other => {
-                held_tokens(prompt, salt, |part, tokens| server.held.tokens(now, part, tokens))
+                held_tokens(prompt, salt, |part, tokens| {
+                    server.held.expected_tokens(now, part, tokens)
+                })
             }
         };
-        let supply = sources.supply(key, &server.entry.zone, held, shared);
+        let supply = sources.plan_fetch(key, &server.entry.zone, held, shared);
         let again_ms = wish.again_ms(role, &supply);
         // A home reads what it has lost, however long that takes.
         let bound_ms = if role == Role::Home { 0.0 } else { again_ms };
@@ -240,23 +242,23 @@
         let cost_ms = wait_ms
             + own_ms(prompt)
             + supply.fetch_ms
-            + supply.copy_ms
+            + supply.eviction_cost_ms
             + again_ms
             + self.zone_ms(server)
             + old_ms
             + tried;
-        let spare = || sources.spare(key, &server.entry.zone, supply.read);
+        let spare = || sources.fallback_source(key, &server.entry.zone, supply.prefill_tokens);
         let source = supply.source.clone().or_else(spare);
         let own = prompt.input.saturating_sub(shared);
         let choice = Choice {
             server: key,
-            tokens: own.saturating_add(supply.read),
+            tokens: own.saturating_add(supply.prefill_tokens),
             held,
-            fetched: supply.fetched,
+            fetched: supply.fetched_tokens,
             salt: Some(salt.to_owned()),
             weights: Some(version),
             fetch_from: source.map(|source| source.address),
-            from_store: supply.source.as_ref().is_some_and(|s| s.place == Place::Store),
+            from_store: supply.source.as_ref().is_some_and(|s| s.place == Location::Store),
             save_to: None,
             moved_bytes: 0.0,
             at_home: role == Role::Home,
@@ -272,14 +274,15 @@
         request: &Request,
         prompt: &Prompt,
         mut choice: Choice,
-        supply: Supply,
+        supply: FetchPlan,
     ) -> Choice {
         let salt = choice.salt.as_deref().unwrap_or_default();
-        let zones = self.store_zones(choice.server);
+        let zones = self.store_zone_factor(choice.server);
         if choice.from_store {
-            let bytes = f64::from(supply.fetched) * self.token_bytes(&request.pool);
+            let bytes = f64::from(supply.fetched_tokens) * self.token_bytes(&request.pool);
             choice.moved_bytes = bytes * zones;
-        } else if let Some((address, bytes)) = self.save_to(now, prompt, salt, &request.pool, zones)
+        } else if let Some((address, bytes)) =
+            self.save_target(now, prompt, salt, &request.pool, zones)
         {
             (choice.save_to, choice.moved_bytes) = (Some(address), bytes);
         }
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -83,7 +83,7 @@
         self.event(Event::ServerEnded, detail);
         let mut addresses = self.scheduler_addresses(now);
         if addresses.is_empty() {
-            addresses = self.fresh_addresses(now);
+            addresses = self.fresh_peer_addresses(now);
             self.rng.shuffle(&mut addresses);
             addresses.truncate(TOLD_PEERS);
         }
@@ -125,7 +125,7 @@
         if blocked.is_empty() {
             return;
         }
-        let addresses = self.fresh_addresses(now);
+        let addresses = self.fresh_peer_addresses(now);
         let new = blocked.iter();
         let new = new.map(|block| Blocked { fingerprint: *block, age: Duration::ZERO }).collect();
         self.tell_of_poison(addresses, Message::Blocked(new));
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas of workspaces: who keeps them, what is let in, and what daemons tell each other of their use.
 
-use super::peer::{INTERVAL, Peer};
+use super::peer::{DIGEST_INTERVAL, Peer};
 use super::request::{Phase, Request};
 use super::{Digest, Key, Node};
 use crate::prelude::*;
@@ -43,7 +43,7 @@
     fn is_told_of(&self, now: Time) -> bool {
         let lasts = |digest: &Digest| digest.interval * 2 + LENT_FOR;
         let lasts = self.digest.as_ref().map(lasts);
-        self.heard.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
+        self.heard_at.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
     }
 }
 
@@ -58,7 +58,7 @@
             let wait = if former.is_empty() || stopped { Duration::ZERO } else { TAKES_OVER };
             self.keeping.taking_over_until = now + wait;
             self.keeping.keeper = keeper;
-            self.next_digest = self.next_digest.min(now + INTERVAL / 5);
+            self.next_digest = self.next_digest.min(now + DIGEST_INTERVAL / 5);
         }
         let role = self.quota_role(now);
         let keeps = matches!(role, Role::Keeper { .. });
@@ -110,11 +110,11 @@
     fn quota_role(&self, now: Time) -> Role {
         let id = &self.identity.id;
         if !self.is_scheduler(now) {
-            return Role::Other { daemons: self.daemons() };
+            return Role::Other { daemons: self.daemon_count() };
         }
         let lenders = self.peers.values().filter(|peer| peer.lends_to(now, id)).count();
         // Others notice first where the one before has ended, since their requests find it gone.
-        let is_keeper = self.keeping.keeper == *id || lenders * 2 > self.daemons();
+        let is_keeper = self.keeping.keeper == *id || lenders * 2 > self.daemon_count();
         if !is_keeper {
             let keeper = self.peers.get(&self.keeping.keeper);
             return Role::Deputy { is_told: keeper.is_some_and(|keeper| keeper.is_told_of(now)) };
@@ -128,8 +128,8 @@
     /// Daemons that have a share. Where most are heard of, those that have been silent for long have none; on the
     /// other side of a cut they are not most.
     fn lending_daemons(&self, now: Time) -> usize {
-        let daemons = self.daemons();
-        let gone = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + GONE_AFTER;
+        let daemons = self.daemon_count();
+        let gone = |peer: &&Peer| now >= peer.heard_at.unwrap_or_default() + GONE_AFTER;
         let gone = self.peers.values().filter(gone).count();
         let rest = daemons.saturating_sub(gone).max(1);
         if rest * 2 > daemons { rest } else { daemons }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -3,66 +3,66 @@
 use super::life::Known;
 use super::request::{Phase, Request};
 use super::{
-    Batch, Change, Effect, Entry, Key, Node, Place, Read, Record, Server, Topic, Tracked, server,
+    Batch, Change, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic, Tracked, server,
 };
 use crate::prelude::*;
 use crate::route::Table;
 
 /// After the store is back, registrations that lapsed meanwhile have this long to return.
-const LAPSED_RETURN: Duration = Duration::from_millis(2_200);
+const LAPSED_RETURN_TIME: Duration = Duration::from_millis(2_200);
 /// Unreadable records that are remembered, so that each is told of once.
-const MAX_UNREADABLE: usize = 1_024;
+const MAX_UNREADABLE_KEYS: usize = 1_024;
 /// Records that are told to peers at once; a peer asks for more when it sees that it is behind.
-const MAX_TOLD: usize = 64;
+const MAX_FORWARDED_RECORDS: usize = 64;
 
 impl Node {
-    pub(super) fn read(&mut self, now: Time, read: Read) {
+    pub(super) fn handle_read(&mut self, now: Time, read: Read) {
         let Read { batch, whole, asked } = read;
         let topic = batch.topic;
-        self.came_up(now, Tracked::Topic(topic));
+        self.mark_readable(now, Tracked::Topic(topic));
         self.read_at.insert(topic, now);
         if whole {
-            self.take_whole(now, batch);
+            self.apply_snapshot(now, batch);
         } else {
-            self.take(now, batch, true);
+            self.apply_batch(now, batch, true);
         }
-        if topic == Topic::Operator && self.lacks_nothing() {
+        if topic == Topic::Operator && self.has_all_operator_records() {
             self.missed_nothing(asked);
         }
     }
 
     /// Whether nothing is known to have been published by operators that this daemon lacks.
-    pub(super) fn lacks_nothing(&self) -> bool {
+    pub(super) fn has_all_operator_records(&self) -> bool {
         let topic = Topic::Operator;
         self.known.contains(&topic)
-            && self.catalog.is_whole(topic)
+            && self.catalog.is_contiguous(topic)
             && !self.behind.contains_key(&topic)
     }
 
     /// Takes everything that is left of a topic: what is not in it is gone.
-    pub(super) fn take_whole(&mut self, now: Time, batch: Batch) {
+    pub(super) fn apply_snapshot(&mut self, now: Time, batch: Batch) {
         let Batch { topic, to, .. } = batch;
-        let gone = self.catalog.missing(topic, &batch.records, to);
-        self.take_records(now, topic, &gone);
-        self.take_records(now, topic, &batch.records);
-        self.catalog.take_whole(topic, to);
+        let removals = self.catalog.removals(topic, &batch.records, to);
+        self.apply_records(now, topic, &removals);
+        self.apply_records(now, topic, &batch.records);
+        self.catalog.mark_snapshot(topic, to);
         self.known.insert(topic);
     }
 
     /// Takes a batch from the store or from a peer, and tells some peers of what was new in it.
-    pub(super) fn take(&mut self, now: Time, batch: Batch, tell: bool) {
-        let any_new = self.take_records(now, batch.topic, &batch.records);
+    pub(super) fn apply_batch(&mut self, now: Time, batch: Batch, forward: bool) {
+        let any_new = self.apply_records(now, batch.topic, &batch.records);
         // A peer tells of new records one by one: with a gap before them they are a part of the topic,
         // and what is read next may be older than they are.
         if self.catalog.advance(batch.topic, batch.from, batch.to) {
             self.known.insert(batch.topic);
         }
-        if tell && any_new && batch.records.len() <= MAX_TOLD {
-            self.tell_records(now, batch);
+        if forward && any_new && batch.records.len() <= MAX_FORWARDED_RECORDS {
+            self.forward_records(now, batch);
         }
     }
 
-    pub(super) fn went_down(&mut self, now: Time, tracked: Tracked, reason: &str) {
+    pub(super) fn mark_unreadable(&mut self, now: Time, tracked: Tracked, reason: &str) {
         if tracked == Tracked::Topic(Topic::Servers) {
             self.down_at = Some(now);
         }
@@ -75,7 +75,7 @@
     }
 
     /// Notes that what is tracked was read.
-    pub(super) fn came_up(&mut self, now: Time, tracked: Tracked) {
+    pub(super) fn mark_readable(&mut self, now: Time, tracked: Tracked) {
         if let Some(since) = self.unread_since.remove(&tracked) {
             let detail =
                 Detail::of("topic", tracked.name()).and("down_ms", now.saturating_sub(since));
@@ -84,19 +84,19 @@
     }
 
     /// Takes records in; whether any was new.
-    fn take_records(&mut self, now: Time, topic: Topic, records: &[Record]) -> bool {
+    fn apply_records(&mut self, now: Time, topic: Topic, records: &[Record]) -> bool {
         let mut any_new = false;
         for record in records {
-            if !self.catalog.take(topic, record) {
+            if !self.catalog.insert(topic, record) {
                 continue;
             }
             any_new = true;
             match (self.decode)(topic, record) {
                 Ok(change) => {
                     self.unreadable.remove(&(topic, record.key.clone()));
-                    self.change(now, change);
+                    self.apply_change(now, change);
                 }
-                Err(reason) => self.unreadable(now, topic, record, reason),
+                Err(reason) => self.skip_unreadable(now, topic, record, reason),
             }
         }
         self.catalog.trim();
@@ -109,12 +109,12 @@
     /// Takes over a record that can't be read: it names no server, also where its key once did; the
     /// last configuration and the last weights that were named hold. Told of once for each key and
     /// reason, since another writer may repeat it as often as servers register.
-    fn unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
+    fn skip_unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
         self.counts.unreadable += 1;
         if topic == Topic::Servers
             && let Some(key) = self.lives.registered(&record.key)
         {
-            self.remove(now, key);
+            self.remove_server(now, key);
         }
         let detail = Detail::of("topic", format!("{topic:?}"))
             .and("key", record.key.as_str())
@@ -124,27 +124,27 @@
         if self.unreadable.get(&key) == Some(&reason) {
             return;
         }
-        if self.unreadable.len() >= MAX_UNREADABLE {
+        if self.unreadable.len() >= MAX_UNREADABLE_KEYS {
             self.unreadable.pop_first();
         }
         self.unreadable.insert(key, reason);
         self.event(Event::RecordUnreadable, detail);
     }
 
-    fn change(&mut self, now: Time, change: Change) {
+    fn apply_change(&mut self, now: Time, change: Change) {
         match change {
-            Change::Table { table, left_out } => self.adopt(table, &left_out),
+            Change::Table { table, left_out } => self.apply_table(table, &left_out),
             Change::Weights { model, version } => self.name_weights(now, &model, version),
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
-            Change::Router { id, address, cores } => self.meet(now, id, address, cores),
+            Change::Router { id, address, cores } => self.register_peer(now, id, address, cores),
             Change::Blocked(told) => self.block_kept(now, told),
             Change::Unblocked(fingerprint) => self.block_gone(now, fingerprint),
             Change::Nothing => {}
         }
     }
 
-    pub(super) fn adopt(&mut self, table: Arc<Table>, left_out: &[String]) {
+    pub(super) fn apply_table(&mut self, table: Arc<Table>, left_out: &[String]) {
         let current = self.table.as_ref().map_or(0, |table| table.version());
         if self.table.is_some() && table.version() <= current {
             return;
@@ -163,13 +163,13 @@
     pub(super) fn register(&mut self, now: Time, entry: Entry) {
         match self.lives.find(&entry.life) {
             Known::Ended => {}
-            Known::Same(key) => self.update(key, entry),
-            Known::New => self.add(entry),
-            Known::Next(former) => self.begin_anew(now, former, entry),
+            Known::Same(key) => self.update_server(key, entry),
+            Known::New => self.add_server(entry),
+            Known::Next(former) => self.replace_restarted(now, former, entry),
         }
     }
 
-    fn update(&mut self, key: server::Key, entry: Entry) {
+    fn update_server(&mut self, key: server::Key, entry: Entry) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let was_leaving = server.entry.leaving;
         let id = entry.life.id.clone();
@@ -179,7 +179,7 @@
         }
     }
 
-    fn add(&mut self, entry: Entry) {
+    fn add_server(&mut self, entry: Entry) {
         self.event(
             Event::ServerAdded,
             Detail::of("server", entry.life.id.as_str())
@@ -197,23 +197,23 @@
 
     /// Ends what was believed of a server's former life. What it ran there has ended with it, so that
     /// which may be repeated is sent again at once instead of waiting for silence.
-    fn begin_anew(&mut self, now: Time, former: server::Key, entry: Entry) {
+    fn replace_restarted(&mut self, now: Time, former: server::Key, entry: Entry) {
         let address = self.servers.get(former).map(|server| server.entry.address);
         let detail = Detail::of("server", entry.life.id.as_str()).and("born", entry.life.born);
         self.event(Event::ServerRestarted, detail);
-        let there = self.requests.iter().filter_map(|(key, request)| match request.phase {
+        let attempts = self.requests.iter().filter_map(|(key, request)| match request.phase {
             Phase::Sent { server, at, .. } if server == former => Some((*key, at)),
             _ => None,
         });
-        let there: Vec<(Key, Time)> = there.collect();
-        for (key, at) in &there {
+        let attempts: Vec<(Key, Time)> = attempts.collect();
+        for (key, at) in &attempts {
             self.connection_lost(now, *key, former, now.saturating_sub(*at));
         }
-        self.remove(now, former);
-        self.add(entry);
+        self.remove_server(now, former);
+        self.add_server(entry);
         self.effects.extend(address.map(Effect::Disconnect));
         let repeatable = |key: &Key| self.requests.get(key).is_some_and(Request::may_repeat);
-        let lost: Vec<Key> = there.into_iter().map(|(key, _)| key).filter(repeatable).collect();
+        let lost: Vec<Key> = attempts.into_iter().map(|(key, _)| key).filter(repeatable).collect();
         for key in lost {
             self.log_failed(key, former, "its server has started again");
             self.repeat(now, key);
@@ -224,18 +224,18 @@
     /// store was away is kept until it has had time to return.
     pub(super) fn unregister(&mut self, now: Time, id: &str) {
         let Some(key) = self.lives.registered(id) else { return };
-        if self.down_at.is_some_and(|at| now < at + LAPSED_RETURN) {
+        if self.down_at.is_some_and(|at| now < at + LAPSED_RETURN_TIME) {
             if let Some(server) = self.servers.get_mut(key) {
                 server.doubted_at = Some(now);
             }
             return;
         }
-        self.remove(now, key);
+        self.remove_server(now, key);
     }
 
-    pub(super) fn drop_lapsed(&mut self, now: Time) {
+    pub(super) fn remove_lapsed(&mut self, now: Time) {
         let Some(down_at) = self.down_at else { return };
-        if now < down_at + LAPSED_RETURN {
+        if now < down_at + LAPSED_RETURN_TIME {
             return;
         }
         self.down_at = None;
@@ -246,16 +246,16 @@
             .map(|(key, _)| key)
             .collect();
         for key in lapsed {
-            self.remove(now, key);
+            self.remove_server(now, key);
         }
     }
 
-    pub(super) fn remove(&mut self, now: Time, key: server::Key) {
+    pub(super) fn remove_server(&mut self, now: Time, key: server::Key) {
         let Some(server) = self.servers.remove(key) else { return };
         self.lives.end(&server.entry.life);
         self.registration_ended(now, &server);
         self.others.remove(&key);
-        self.readings.remove(&Place::Engine(key));
+        self.readings.remove(&Location::Engine(key));
         if let Some(keys) = self.pools.get_mut(&server.entry.pool) {
             keys.retain(|other| *other != key);
         }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 impl Node {
-    pub(super) fn report(&mut self, now: Time, key: Key, attempt: u32, report: Report) {
+    pub(super) fn handle_report(&mut self, now: Time, key: Key, attempt: u32, report: Report) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.sends != attempt {
             return;
@@ -21,11 +21,11 @@
                 if let (Some(model), Some(version)) = (model, weights) {
                     self.saw_weights(now, server, &model, version);
                 }
-                self.heard(now, server);
-                self.begun(now, key, server, tokens, begun, at);
+                self.note_response(now, server);
+                self.answer_begun(now, key, server, tokens, begun, at);
             }
             Report::Ended => {
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.was_served(now, key);
                 if let Some(server) = self.servers.get_mut(server) {
                     server.succeeded();
@@ -36,7 +36,7 @@
                 request.runs -= 1;
                 self.counts.declined += 1;
                 self.log_declined(key, server, refused);
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
                 self.again(now, key, true, Code::QueueFull);
             }
@@ -59,20 +59,20 @@
             Report::Failed => {
                 self.counts.failed += 1;
                 self.log_failed(key, server, "it answered with a failure of its own");
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.repeat(now, key);
             }
         }
     }
 
-    pub(super) fn heard(&mut self, now: Time, server: server::Key) {
+    pub(super) fn note_response(&mut self, now: Time, server: server::Key) {
         self.lives(now, server);
         if let Some(server) = self.servers.get_mut(server) {
             server.heard_at = Some(now);
         }
     }
 
-    pub(super) fn begun(
+    pub(super) fn answer_begun(
         &mut self,
         now: Time,
         key: Key,
@@ -87,7 +87,7 @@
         self.log_begun(now, key, at);
         if let Some(cost_ms) = self.requests.get(&key).and_then(|request| request.fetch_cost_ms) {
             let waited_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-            self.link.saw_delay(now, waited_ms - cost_ms);
+            self.link.record_delay(now, waited_ms - cost_ms);
         }
         if let Some(server) = self.servers.get_mut(server) {
             server.pending_tokens = server.pending_tokens.saturating_sub(tokens);
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -28,7 +28,7 @@
         let part = if self.is_scheduler(now) && !self.has_just_started(now) {
             SCHEDULER_SLACK
         } else if self.known.contains(&Topic::Routers) {
-            OTHERS_SLACK / self.daemons() as f64
+            OTHERS_SLACK / self.daemon_count() as f64
         } else {
             0.0
         };
@@ -64,7 +64,7 @@
         pool: String,
         origin: Option<Origin>,
     ) {
-        self.sum_others(now);
+        self.sum_peer_load(now);
         let terms = self.terms(now);
         self.budgets.entry(pool.clone()).or_default().earn(now, terms);
         if let Some(prompt) = &arrival.prompt {
@@ -127,7 +127,7 @@
         let table = self.table.as_ref();
         let pool = self.requests.get(&key).and_then(|request| table?.pool(&request.pool));
         let accepted = pool.map_or(u32::MAX, |pool| pool.max_connections) as usize;
-        (accepted / 2 / self.daemons()).clamp(1, MAX_IDLE)
+        (accepted / 2 / self.daemon_count()).clamp(1, MAX_IDLE)
     }
 
     pub(super) fn dispatch(&mut self, now: Time, key: Key, choice: Choice) {
@@ -152,7 +152,7 @@
                 parts.push(keyed(salt, part.id));
                 server.held.note_sent(now, keyed(salt, part.id));
                 if choice.save_to.is_some() {
-                    self.kept.note(now, salt, part.id);
+                    self.kept.mark_in_transit(now, salt, part.id);
                 }
             }
         }
--- a/src/fleet/residency/held.rs
+++ b/src/fleet/residency/held.rs
@@ -1,30 +1,30 @@
 //! The parts that one engine, or the KV store, keeps.
 
-use super::Told;
+use super::Update;
 use crate::fleet::prompt::keyed;
 use crate::prelude::*;
 
 /// Tokens from which a part is told to peers: to move fewer takes longer than to read them (5 ms to
 /// set a transfer up, some 50 tokens read in a millisecond).
-const WORTH_TELLING: u32 = 512;
+const MIN_REPORTED_TOKENS: u32 = 512;
 /// Tokens by which a part may be short and still count as held: engines keep whole blocks only.
-const BLOCK: u32 = 64;
+const BLOCK_TOKENS: u32 = 64;
 /// Time for which events count as current: two long waits for them and a lost frame.
-const CURRENT_FOR: Duration = Duration::from_millis(2_500);
+const EVENTS_MAX_AGE: Duration = Duration::from_millis(2_500);
 /// Time from a request's start within which the parts that it reads show among the events: the largest
 /// prompts take a second, and events come late.
-const SHOWN_AFTER: Duration = Duration::from_millis(1_500);
+const SENT_LIFETIME_WITH_EVENTS: Duration = Duration::from_millis(1_500);
 /// Time for which a part that was sent to an engine is believed to be held, while its events can't be
 /// read: a busy engine reads its whole memory's worth of prompts in about this time.
-const ASSUMED_FOR: Duration = Duration::from_secs(4);
+const SENT_LIFETIME_WITHOUT_EVENTS: Duration = Duration::from_secs(4);
 /// Parts that are remembered of one keeper.
 const MAX_PARTS: usize = 65_536;
 /// Parts sent that are remembered of one keeper.
-const MAX_SENT: usize = 512;
+const MAX_SENT_PARTS: usize = 512;
 
 /// One change of what is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stored {
+pub struct CacheEvent {
     /// What the part is kept under.
     pub salt: String,
     /// Hash of the part's id.
@@ -35,29 +35,29 @@
 
 /// A read of events.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventsRead {
+pub struct EventBatch {
     /// Changes at each start of the keeper.
     pub epoch: u64,
     /// The number from which to go on.
     pub next: u64,
     /// Whether events before these were lost.
-    pub lost: bool,
+    pub has_gap: bool,
     /// The events, in order.
-    pub changes: Vec<Stored>,
+    pub events: Vec<CacheEvent>,
 }
 
 /// What a read of events, or a peer's word, means.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(in crate::fleet) enum Heard {
+pub(in crate::fleet) enum Outcome {
     /// It is taken over; these are the changes worth telling, and whether they are everything.
-    Taken { whole: bool, changes: Vec<(u64, u32)> },
+    Applied { full: bool, changes: Vec<(u64, u32)> },
     /// Something before it is missing; it has to be asked for.
-    Missed,
+    Gap,
 }
 
 /// The parts that one engine or the KV store keeps.
 #[derive(Debug, Clone, Default)]
-pub(in crate::fleet) struct Held {
+pub(in crate::fleet) struct Residency {
     /// Tokens by part, as events tell.
     parts: BTreeMap<u64, u32>,
     /// When this daemon last sent a prompt with a part there.
@@ -66,27 +66,27 @@
     /// The number of the event from which to read on.
     next: u64,
     /// When events were last heard.
-    heard: Option<Time>,
+    updated_at: Option<Time>,
     /// Who told of them last, and how often it had by then.
-    teller: Option<(String, u64)>,
+    update_source: Option<(String, u64)>,
     /// How often this daemon told of them.
-    told: u64,
+    updates_sent: u64,
 }
 
-impl Held {
+impl Residency {
     /// The number of the event from which to read on.
-    pub(in crate::fleet) fn next(&self) -> u64 {
+    pub(in crate::fleet) fn next_event(&self) -> u64 {
         self.next
     }
 
     /// Whether events tell what is held now.
     pub(in crate::fleet) fn is_current(&self, now: Time) -> bool {
-        self.heard.is_some_and(|heard| now < heard + CURRENT_FOR)
+        self.updated_at.is_some_and(|updated_at| now < updated_at + EVENTS_MAX_AGE)
     }
 
     /// How old the newest events are.
     pub(in crate::fleet) fn age(&self, now: Time) -> Option<Duration> {
-        self.heard.map(|heard| now.saturating_sub(heard))
+        self.updated_at.map(|updated_at| now.saturating_sub(updated_at))
     }
 
     /// How many parts are believed to be held.
@@ -97,7 +97,7 @@
     /// Notes that a prompt with this part was sent there.
     pub(in crate::fleet) fn note_sent(&mut self, now: Time, part: u64) {
         self.sent.insert(part, now);
-        if self.sent.len() > MAX_SENT
+        if self.sent.len() > MAX_SENT_PARTS
             && let Some(oldest) = self.sent.iter().min_by_key(|(_, at)| **at).map(|(id, _)| *id)
         {
             self.sent.remove(&oldest);
@@ -110,94 +110,97 @@
     }
 
     /// Notes that its events can't be read.
-    pub(in crate::fleet) fn lost(&mut self) {
-        self.heard = None;
+    pub(in crate::fleet) fn mark_unreadable(&mut self) {
+        self.updated_at = None;
     }
 
     /// How many of a part's `tokens` are believed to be held by the time that one more request with it
     /// is begun there.
-    pub(in crate::fleet) fn tokens(&self, now: Time, part: u64, tokens: u32) -> u32 {
-        let believed_for = if self.is_current(now) { SHOWN_AFTER } else { ASSUMED_FOR };
-        if self.sent.get(&part).is_some_and(|at| now < *at + believed_for) {
+    pub(in crate::fleet) fn expected_tokens(&self, now: Time, part: u64, tokens: u32) -> u32 {
+        let lifetime = if self.is_current(now) {
+            SENT_LIFETIME_WITH_EVENTS
+        } else {
+            SENT_LIFETIME_WITHOUT_EVENTS
+        };
+        if self.sent.get(&part).is_some_and(|at| now < *at + lifetime) {
             return tokens;
         }
-        self.shown(now, part, tokens)
+        self.confirmed_tokens(now, part, tokens)
     }
 
     /// How many of a part's `tokens` events show, so that others can fetch them now: what is still being
     /// read is not found there.
-    pub(in crate::fleet) fn shown(&self, now: Time, part: u64, tokens: u32) -> u32 {
+    pub(in crate::fleet) fn confirmed_tokens(&self, now: Time, part: u64, tokens: u32) -> u32 {
         if !self.is_current(now) {
             return 0;
         }
-        let kept = self.parts.get(&part).copied().unwrap_or_default();
-        if kept.saturating_add(BLOCK) >= tokens { tokens } else { kept }
+        let confirmed = self.parts.get(&part).copied().unwrap_or_default();
+        if confirmed.saturating_add(BLOCK_TOKENS) >= tokens { tokens } else { confirmed }
     }
 
     /// Takes over events that this daemon read.
-    pub(in crate::fleet) fn read(&mut self, now: Time, read: &EventsRead) -> Heard {
-        let known = self.epoch == Some(read.epoch);
+    pub(in crate::fleet) fn apply_events(&mut self, now: Time, batch: &EventBatch) -> Outcome {
+        let known = self.epoch == Some(batch.epoch);
         if !known && self.next > 0 {
             // The keeper has started again, and what it told before the number asked for is missing:
             // it is read from the start, and told whole.
             (self.epoch, self.next) = (None, 0);
             self.parts.clear();
-            return Heard::Missed;
+            return Outcome::Gap;
         }
-        let whole = !known || read.lost;
-        if whole {
+        let full = !known || batch.has_gap;
+        if full {
             self.parts.clear();
         }
-        (self.epoch, self.next, self.heard) = (Some(read.epoch), read.next, Some(now));
+        (self.epoch, self.next, self.updated_at) = (Some(batch.epoch), batch.next, Some(now));
         let mut changes = BTreeMap::new();
-        for stored in &read.changes {
-            let part = keyed(&stored.salt, stored.part);
-            let before = self.set(part, stored.tokens);
-            if before.max(stored.tokens) >= WORTH_TELLING {
-                changes.insert(part, stored.tokens);
+        for event in &batch.events {
+            let part = keyed(&event.salt, event.part);
+            let before = self.set_tokens(part, event.tokens);
+            if before.max(event.tokens) >= MIN_REPORTED_TOKENS {
+                changes.insert(part, event.tokens);
             }
         }
-        Heard::Taken { whole, changes: changes.into_iter().collect() }
+        Outcome::Applied { full, changes: changes.into_iter().collect() }
     }
 
     /// Takes over what a peer tells.
-    pub(in crate::fleet) fn hear(&mut self, now: Time, told: &Told) -> Heard {
-        let follows = self
-            .teller
-            .as_ref()
-            .is_some_and(|(daemon, number)| *daemon == told.daemon && number + 1 == told.number);
-        if !told.whole && !follows {
-            return Heard::Missed;
+    pub(in crate::fleet) fn apply_update(&mut self, now: Time, update: &Update) -> Outcome {
+        let follows = self.update_source.as_ref().is_some_and(|(daemon, sequence)| {
+            *daemon == update.daemon && sequence + 1 == update.sequence
+        });
+        if !update.full && !follows {
+            return Outcome::Gap;
         }
-        if told.whole {
+        if update.full {
             self.parts.clear();
         }
         // What this daemon read itself, if it ever did, is no longer what it goes by.
         (self.epoch, self.next) = (None, 0);
-        for (part, tokens) in &told.changes {
-            self.set(*part, *tokens);
+        for (part, tokens) in &update.changes {
+            self.set_tokens(*part, *tokens);
         }
-        self.heard = Some(now);
-        self.teller = Some((told.daemon.clone(), told.number));
-        Heard::Taken { whole: told.whole, changes: Vec::new() }
+        self.updated_at = Some(now);
+        self.update_source = Some((update.daemon.clone(), update.sequence));
+        Outcome::Applied { full: update.full, changes: Vec::new() }
     }
 
     /// The number of what this daemon tells next.
-    pub(in crate::fleet) fn next_told(&mut self) -> u64 {
-        self.told += 1;
-        self.told
+    pub(in crate::fleet) fn next_seq(&mut self) -> u64 {
+        self.updates_sent += 1;
+        self.updates_sent
     }
 
     /// Everything worth telling, for a peer that missed something, and how often was told so far;
     /// nothing where this daemon does not read the events.
-    pub(in crate::fleet) fn whole(&self) -> Option<(u64, Vec<(u64, u32)>)> {
+    pub(in crate::fleet) fn full_update(&self) -> Option<(u64, Vec<(u64, u32)>)> {
         self.epoch?;
-        let worth = self.parts.iter().filter(|(_, tokens)| **tokens >= WORTH_TELLING);
-        Some((self.told, worth.map(|(part, tokens)| (*part, *tokens)).collect()))
+        let reported = self.parts.iter().filter(|(_, tokens)| **tokens >= MIN_REPORTED_TOKENS);
+        Some((self.updates_sent, reported.map(|(part, tokens)| (*part, *tokens)).collect()))
     }
 
     /// Notes how much of a part is held; how much was.
-    fn set(&mut self, part: u64, tokens: u32) -> u32 {
+    fn set_tokens(&mut self, part: u64, tokens: u32) -> u32 {
         let before = match tokens {
             0 => self.parts.remove(&part),
             _ if self.parts.len() >= MAX_PARTS && !self.parts.contains_key(&part) => None,
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -5,208 +5,217 @@
 
 use std::net::SocketAddr;
 
-use super::held::Heard;
-use super::{EventsRead, Held, Keeper, Place, Told};
+use super::held::Outcome;
+use super::{EventBatch, Holder, Location, Residency, Update};
 use crate::fleet::{Effect, Frame, Node};
 use crate::prelude::*;
 
 /// Time between two reads of one keeper's events, for each keeper that is read: one daemon reads them
 /// all, some 120 a second at most.
-const PACE_EACH: Duration = Duration::from_millis(8);
+const READ_INTERVAL_PER_HOLDER: Duration = Duration::from_millis(8);
 /// Least time between two reads.
-const PACE_LEAST: Duration = Duration::from_millis(100);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Most time between two reads: parts are read and dropped within some seconds.
-const PACE_MOST: Duration = Duration::from_millis(800);
+const MAX_READ_INTERVAL: Duration = Duration::from_millis(800);
 /// Time after a read that failed.
-const PAUSE: Duration = Duration::from_millis(500);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Time between two looks at who reads what.
-const LOOK: Duration = Duration::from_millis(400);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Time after which a read that has not ended counts as failed: the longest wait for events, and the
 /// time for their answer.
-const LOST: Duration = Duration::from_secs(4);
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time without changes after which peers are told so, since they count on hearing.
-const STILL: Duration = Duration::from_millis(900);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
 /// Time between two questions to a peer for all parts.
-const ASK: Duration = Duration::from_millis(600);
+const FULL_UPDATE_REQUEST_INTERVAL: Duration = Duration::from_millis(600);
 
 /// When the events of one keeper are read and told.
 #[derive(Debug, Clone, Copy, Default)]
-pub(in crate::fleet) struct Reading {
+pub(in crate::fleet) struct EventPoll {
     /// When the read under way began.
-    asked: Option<Time>,
-    due: Time,
-    told_at: Time,
+    started_at: Option<Time>,
+    due_at: Time,
+    update_sent_at: Time,
     /// When a peer may next be asked for all parts.
-    ask_at: Time,
+    next_request_at: Time,
 }
 
 impl Node {
     /// Reads the events that this daemon is to read and that are due.
     pub(in crate::fleet) fn read_events(&mut self, now: Time) {
-        let places = self.servers.keys().map(Place::Engine).chain([Place::Store]);
-        let places: Vec<Place> = places.collect();
-        for place in places {
-            self.read_events_of(now, place);
+        let locations = self.servers.keys().map(Location::Engine).chain([Location::Store]);
+        let locations: Vec<Location> = locations.collect();
+        for location in locations {
+            self.read_holder_events(now, location);
         }
     }
 
-    fn read_events_of(&mut self, now: Time, place: Place) {
-        let Some(address) = self.keeper_address(place) else { return };
-        let reading = self.readings.entry(place).or_default();
-        if reading.asked.is_some_and(|at| now < at + LOST) || now < reading.due {
+    fn read_holder_events(&mut self, now: Time, location: Location) {
+        let Some(address) = self.holder_address(location) else { return };
+        let poll = self.readings.entry(location).or_default();
+        if poll.started_at.is_some_and(|at| now < at + READ_TIMEOUT) || now < poll.due_at {
             return;
         }
-        (reading.asked, reading.due) = (None, now + LOOK);
-        if !self.reads_events_of(now, place) {
+        (poll.started_at, poll.due_at) = (None, now + READER_CHECK_INTERVAL);
+        if !self.is_event_reader(now, location) {
             return;
         }
-        if let Some(reading) = self.readings.get_mut(&place) {
-            reading.asked = Some(now);
+        if let Some(poll) = self.readings.get_mut(&location) {
+            poll.started_at = Some(now);
         }
-        let since = self.held(place).map_or(0, Held::next);
-        self.effects.push(Effect::ReadEvents { place, address, since });
+        let since = self.residency(location).map_or(0, Residency::next_event);
+        self.effects.push(Effect::ReadEvents { place: location, address, since });
     }
 
     /// Takes over events that were read; `None` where they could not be.
-    pub(in crate::fleet) fn events_read(
+    pub(in crate::fleet) fn handle_cache_events(
         &mut self,
         now: Time,
-        place: Place,
-        read: Option<&EventsRead>,
+        location: Location,
+        read: Option<&EventBatch>,
     ) {
-        if self.held(place).is_none() {
+        if self.residency(location).is_none() {
             // The server is gone.
             return;
         }
-        let pace = self.events_pace();
-        let reading = self.readings.entry(place).or_default();
-        reading.asked = None;
+        let interval = self.read_interval();
+        let poll = self.readings.entry(location).or_default();
+        poll.started_at = None;
         let Some(read) = read else {
-            reading.due = now + PAUSE;
-            if let Some(held) = self.held_mut(place) {
-                held.lost();
+            poll.due_at = now + READ_RETRY_DELAY;
+            if let Some(held) = self.residency_mut(location) {
+                held.mark_unreadable();
             }
             return;
         };
-        reading.due = now + pace;
-        let still = now >= reading.told_at + STILL;
-        let Some(held) = self.held_mut(place) else { return };
-        match held.read(now, read) {
-            Heard::Missed => {
-                if let Some(reading) = self.readings.get_mut(&place) {
-                    reading.due = now;
+        poll.due_at = now + interval;
+        let heartbeat_due = now >= poll.update_sent_at + HEARTBEAT_INTERVAL;
+        let Some(held) = self.residency_mut(location) else { return };
+        match held.apply_events(now, read) {
+            Outcome::Gap => {
+                if let Some(poll) = self.readings.get_mut(&location) {
+                    poll.due_at = now;
                 }
             }
-            Heard::Taken { whole: false, changes } if changes.is_empty() && !still => {}
-            Heard::Taken { whole, changes } => self.tell(now, place, whole, changes),
+            Outcome::Applied { full: false, changes } if changes.is_empty() && !heartbeat_due => {}
+            Outcome::Applied { full, changes } => {
+                self.send_residency_update(now, location, full, changes)
+            }
         }
     }
 
     /// Takes over what a peer tells of events that it reads.
-    pub(in crate::fleet) fn told_came(&mut self, now: Time, told: &Told) {
-        let Some(place) = self.place_of(&told.keeper) else { return };
-        let reads = self.readings.get(&place).is_some_and(|reading| reading.asked.is_some());
+    pub(in crate::fleet) fn handle_residency_update(&mut self, now: Time, update: &Update) {
+        let Some(location) = self.location_of(&update.holder) else { return };
+        let reads = self.readings.get(&location).is_some_and(|poll| poll.started_at.is_some());
         if reads {
             // Both read for a moment; what this daemon reads is newer than what it is told.
             return;
         }
-        let Some(held) = self.held_mut(place) else { return };
-        if held.hear(now, told) != Heard::Missed {
+        let Some(held) = self.residency_mut(location) else { return };
+        if held.apply_update(now, update) != Outcome::Gap {
             return;
         }
-        let reading = self.readings.entry(place).or_default();
-        if now < reading.ask_at {
+        let poll = self.readings.entry(location).or_default();
+        if now < poll.next_request_at {
             return;
         }
-        reading.ask_at = now + ASK;
-        if let Some(address) = self.peer_address(&told.daemon) {
-            let ask = Frame::AskHeld(self.identity.id.clone(), told.keeper.clone());
-            self.effects.push(Effect::Send(vec![address], ask));
+        poll.next_request_at = now + FULL_UPDATE_REQUEST_INTERVAL;
+        if let Some(address) = self.peer_address(&update.daemon) {
+            let request = Frame::AskHeld(self.identity.id.clone(), update.holder.clone());
+            self.effects.push(Effect::Send(vec![address], request));
         }
     }
 
     /// Tells a peer everything that a keeper holds, by the events that this daemon reads.
-    pub(in crate::fleet) fn asked_held(&mut self, daemon: &str, keeper: Keeper) {
-        let whole = self.place_of(&keeper).and_then(|place| self.held(place)?.whole());
-        let (Some((number, changes)), Some(address)) = (whole, self.peer_address(daemon)) else {
+    pub(in crate::fleet) fn send_full_residency(&mut self, daemon: &str, holder: Holder) {
+        let full =
+            self.location_of(&holder).and_then(|location| self.residency(location)?.full_update());
+        let (Some((sequence, changes)), Some(address)) = (full, self.peer_address(daemon)) else {
             return;
         };
         let daemon = self.identity.id.clone();
-        let told = Told { daemon, keeper, number, whole: true, changes };
-        self.effects.push(Effect::Send(vec![address], Frame::Held(told)));
+        let update = Update { daemon, holder, sequence, full: true, changes };
+        self.effects.push(Effect::Send(vec![address], Frame::Held(update)));
     }
 
-    fn tell(&mut self, now: Time, place: Place, whole: bool, changes: Vec<(u64, u32)>) {
-        let Some(keeper) = self.keeper(place) else { return };
-        if let Some(reading) = self.readings.get_mut(&place) {
-            reading.told_at = now;
+    fn send_residency_update(
+        &mut self,
+        now: Time,
+        location: Location,
+        full: bool,
+        changes: Vec<(u64, u32)>,
+    ) {
+        let Some(holder) = self.holder(location) else { return };
+        if let Some(poll) = self.readings.get_mut(&location) {
+            poll.update_sent_at = now;
         }
-        let Some(number) = self.held_mut(place).map(Held::next_told) else { return };
+        let Some(sequence) = self.residency_mut(location).map(Residency::next_seq) else { return };
         let peers = self.scheduler_addresses(now);
         if !peers.is_empty() {
             let daemon = self.identity.id.clone();
-            let told = Told { daemon, keeper, number, whole, changes };
-            self.effects.push(Effect::Send(peers, Frame::Held(told)));
+            let update = Update { daemon, holder, sequence, full, changes };
+            self.effects.push(Effect::Send(peers, Frame::Held(update)));
         }
     }
 
     /// Whether this daemon is to read a keeper's events: it schedules the pool of engines.
-    fn reads_events_of(&self, now: Time, place: Place) -> bool {
-        let pool = match place {
-            Place::Engine(key) => self.servers.get(key).map(|server| server.entry.pool.as_str()),
+    fn is_event_reader(&self, now: Time, location: Location) -> bool {
+        let pool = match location {
+            Location::Engine(key) => self.servers.get(key).map(|server| server.entry.pool.as_str()),
             // Any pool of engines would do that all daemons agree on.
-            Place::Store => self.table.as_ref().and_then(|table| table.engine_pools().next()),
+            Location::Store => self.table.as_ref().and_then(|table| table.engine_pools().next()),
         };
         let scheduled = |pool| self.is_scheduler(now) && self.scheduler_of(now, pool).is_none();
         !self.draining && pool.is_some_and(scheduled)
     }
 
-    fn events_pace(&self) -> Duration {
-        let keepers = u32::try_from(self.readings.len()).unwrap_or(u32::MAX);
-        PACE_EACH.saturating_mul(keepers).clamp(PACE_LEAST, PACE_MOST)
+    fn read_interval(&self) -> Duration {
+        let holders = u32::try_from(self.readings.len()).unwrap_or(u32::MAX);
+        READ_INTERVAL_PER_HOLDER.saturating_mul(holders).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL)
     }
 
-    fn keeper(&self, place: Place) -> Option<Keeper> {
-        match place {
-            Place::Engine(key) => {
-                self.servers.get(key).map(|server| Keeper::Engine(server.entry.life.clone()))
+    fn holder(&self, location: Location) -> Option<Holder> {
+        match location {
+            Location::Engine(key) => {
+                self.servers.get(key).map(|server| Holder::Engine(server.entry.life.clone()))
             }
-            Place::Store => self.keeper_address(place).map(Keeper::Store),
+            Location::Store => self.holder_address(location).map(Holder::Store),
         }
     }
 
-    fn place_of(&self, keeper: &Keeper) -> Option<Place> {
-        match keeper {
-            Keeper::Engine(life) => self.lives.server(life).map(Place::Engine),
-            Keeper::Store(address) => {
-                (self.keeper_address(Place::Store) == Some(*address)).then_some(Place::Store)
+    fn location_of(&self, holder: &Holder) -> Option<Location> {
+        match holder {
+            Holder::Engine(life) => self.lives.server(life).map(Location::Engine),
+            Holder::Store(address) => {
+                (self.holder_address(Location::Store) == Some(*address)).then_some(Location::Store)
             }
         }
     }
 
     /// Where a keeper's events are read.
-    fn keeper_address(&self, place: Place) -> Option<SocketAddr> {
+    fn holder_address(&self, location: Location) -> Option<SocketAddr> {
         let table = self.table.as_ref()?;
-        match place {
-            Place::Engine(key) => {
+        match location {
+            Location::Engine(key) => {
                 let entry = &self.servers.get(key)?.entry;
                 table.engine(&entry.pool).map(|_| entry.address)
             }
-            Place::Store => table.kv_store().map(|store| store.address),
+            Location::Store => table.kv_store().map(|store| store.address),
         }
     }
 
-    pub(in crate::fleet) fn held(&self, place: Place) -> Option<&Held> {
-        match place {
-            Place::Engine(key) => self.servers.get(key).map(|server| &server.held),
-            Place::Store => Some(&self.kept.held),
+    pub(in crate::fleet) fn residency(&self, location: Location) -> Option<&Residency> {
+        match location {
+            Location::Engine(key) => self.servers.get(key).map(|server| &server.held),
+            Location::Store => Some(&self.kept.held),
         }
     }
 
-    fn held_mut(&mut self, place: Place) -> Option<&mut Held> {
-        match place {
-            Place::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.held),
-            Place::Store => Some(&mut self.kept.held),
+    fn residency_mut(&mut self, location: Location) -> Option<&mut Residency> {
+        match location {
+            Location::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.held),
+            Location::Store => Some(&mut self.kept.held),
         }
     }
 }
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -3,41 +3,41 @@
 
 use std::net::SocketAddr;
 
-use super::Place;
+use super::Location;
 use crate::fleet::homes::Homes;
 use crate::fleet::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, shared, shared_tokens};
 use crate::fleet::{Node, Prompt, server};
 use crate::prelude::*;
 
 /// Shared tokens below which nothing is moved: to set a transfer up takes as long as to read them.
-const WORTH_MOVING: u32 = 512;
+const MIN_FETCH_TOKENS: u32 = 512;
 /// Milliseconds that it takes to set a transfer up, as the engines' makers state.
-const SETUP_MS: f64 = 5.0;
+const TRANSFER_SETUP_MS: f64 = 5.0;
 /// By how much longer a transfer takes between availability zones.
-const OTHER_ZONE: f64 = 2.0;
+const CROSS_ZONE_FACTOR: f64 = 2.0;
 /// Milliseconds that a token costs which is moved to one more engine: what it displaces there has to be
 /// read again with some chance. A quarter of what it takes to read one.
-const COPY_MS_PER_TOKEN: f64 = 0.25 / PREFILL_TOKENS_PER_MS;
+const EVICTION_COST_MS_PER_TOKEN: f64 = 0.25 / PREFILL_TOKENS_PER_MS;
 
 /// What holds parts of a prompt.
 #[derive(Debug, Clone, PartialEq)]
 pub(in crate::fleet) struct Source {
-    pub(in crate::fleet) place: Place,
+    pub(in crate::fleet) place: Location,
     pub(in crate::fleet) address: SocketAddr,
     /// Tokens of the prompt's beginning that it holds.
     tokens: u32,
     /// Bytes a second over its link.
-    link: f64,
+    link_bytes_per_s: f64,
     /// Its availability zone.
     zone: String,
     /// Whether it is only taken to hold them, since its events can't be read.
-    assumed: bool,
+    unconfirmed: bool,
 }
 
 /// What holds a prompt's shared parts under one salt.
 #[derive(Debug, Clone, Default)]
 pub(in crate::fleet) struct Sources {
-    found: Vec<Source>,
+    sources: Vec<Source>,
     token_bytes: f64,
     /// Milliseconds that a fetch from the KV store is expected to wait for others.
     store_delay_ms: f64,
@@ -45,79 +45,82 @@
 
 /// How an engine gets the parts that it lacks.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(in crate::fleet) struct Supply {
+pub(in crate::fleet) struct FetchPlan {
     /// What it fetches from.
     pub(in crate::fleet) source: Option<Source>,
     /// Tokens that it fetches.
-    pub(in crate::fleet) fetched: u32,
+    pub(in crate::fleet) fetched_tokens: u32,
     /// Those of them that the source is only taken to hold.
-    pub(in crate::fleet) unsure: u32,
+    pub(in crate::fleet) unconfirmed_tokens: u32,
     /// Shared tokens that are left to be read.
-    pub(in crate::fleet) read: u32,
+    pub(in crate::fleet) prefill_tokens: u32,
     /// Milliseconds that the fetch delays the first token.
     pub(in crate::fleet) fetch_ms: f64,
     /// Milliseconds that the copy costs those who use what it displaces.
-    pub(in crate::fleet) copy_ms: f64,
+    pub(in crate::fleet) eviction_cost_ms: f64,
 }
 
 impl Sources {
     /// How `server` in `zone`, which holds `held` of `shared` tokens, gets the rest.
-    pub(in crate::fleet) fn supply(
+    pub(in crate::fleet) fn plan_fetch(
         &self,
         server: server::Key,
         zone: &str,
         held: u32,
         shared: u32,
-    ) -> Supply {
-        let lacking = Supply { read: shared - held, ..Supply::default() };
-        let others = self.found.iter().filter(|source| source.place != Place::Engine(server));
-        let useful = others.filter(|source| source.tokens >= held.saturating_add(WORTH_MOVING));
-        let supplies = useful.map(|source| {
+    ) -> FetchPlan {
+        let prefill_all = FetchPlan { prefill_tokens: shared - held, ..FetchPlan::default() };
+        let others = self.sources.iter().filter(|source| source.place != Location::Engine(server));
+        let candidates =
+            others.filter(|source| source.tokens >= held.saturating_add(MIN_FETCH_TOKENS));
+        let plans = candidates.map(|source| {
             let fetched = source.tokens.min(shared) - held;
-            let move_ms = f64::from(fetched) * self.token_bytes / source.link * 1_000.0;
-            let zones = zones(&source.zone, zone);
+            let transfer_ms =
+                f64::from(fetched) * self.token_bytes / source.link_bytes_per_s * 1_000.0;
+            let zone_factor = zone_factor(&source.zone, zone);
             let delay_ms = match source.place {
-                Place::Store => self.store_delay_ms,
-                Place::Engine(_) => 0.0,
+                Location::Store => self.store_delay_ms,
+                Location::Engine(_) => 0.0,
             };
-            Supply {
+            FetchPlan {
                 source: Some(source.clone()),
-                fetched,
-                unsure: if source.assumed { fetched } else { 0 },
-                read: shared - held - fetched,
-                fetch_ms: SETUP_MS + move_ms * zones + delay_ms,
-                copy_ms: f64::from(fetched) * COPY_MS_PER_TOKEN,
+                fetched_tokens: fetched,
+                unconfirmed_tokens: if source.unconfirmed { fetched } else { 0 },
+                prefill_tokens: shared - held - fetched,
+                fetch_ms: TRANSFER_SETUP_MS + transfer_ms * zone_factor + delay_ms,
+                eviction_cost_ms: f64::from(fetched) * EVICTION_COST_MS_PER_TOKEN,
             }
         });
-        let cost =
-            |supply: &Supply| supply.fetch_ms + f64::from(supply.read) / PREFILL_TOKENS_PER_MS;
-        let best = supplies.min_by(|a, b| cost(a).total_cmp(&cost(b)));
-        best.filter(|best| cost(best) < cost(&lacking)).unwrap_or(lacking)
+        let cost = |plan: &FetchPlan| {
+            plan.fetch_ms + f64::from(plan.prefill_tokens) / PREFILL_TOKENS_PER_MS
+        };
+        let best = plans.min_by(|a, b| cost(a).total_cmp(&cost(b)));
+        best.filter(|best| cost(best) < cost(&prefill_all)).unwrap_or(prefill_all)
     }
 
     /// What `server` is told to fetch from where it lacks `read` tokens, or in case it has dropped what it
     /// is believed to hold: a miss costs it a millisecond. Where reading was found to be the better choice
     /// an engine is named all the same, since what is read again displaces more; the KV store is not,
     /// whose link has a queue then.
-    pub(in crate::fleet) fn spare(
+    pub(in crate::fleet) fn fallback_source(
         &self,
         server: server::Key,
         zone: &str,
         read: u32,
     ) -> Option<Source> {
-        let others = self.found.iter().filter(|source| match source.place {
-            Place::Engine(key) => key != server,
-            Place::Store => read == 0,
+        let others = self.sources.iter().filter(|source| match source.place {
+            Location::Engine(key) => key != server,
+            Location::Store => read == 0,
         });
-        let least =
-            |source: &&Source| (source.assumed, u32::MAX - source.tokens, source.zone != zone);
-        others.min_by_key(least).cloned()
+        let rank =
+            |source: &&Source| (source.unconfirmed, u32::MAX - source.tokens, source.zone != zone);
+        others.min_by_key(rank).cloned()
     }
 }
 
 /// By how much longer a transfer between two availability zones takes than one within a zone.
-fn zones(from: &str, to: &str) -> f64 {
-    if from == to { 1.0 } else { OTHER_ZONE }
+fn zone_factor(from: &str, to: &str) -> f64 {
+    if from == to { 1.0 } else { CROSS_ZONE_FACTOR }
 }
 
 impl Node {
@@ -134,7 +137,7 @@
     ) -> Sources {
         let shared_tokens = shared_tokens(prompt);
         let engine = self.table.as_ref().and_then(|table| table.engine(pool));
-        let Some(engine) = engine.filter(|_| shared_tokens >= WORTH_MOVING) else {
+        let Some(engine) = engine.filter(|_| shared_tokens >= MIN_FETCH_TOKENS) else {
             return Sources::default();
         };
         let keys = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
@@ -143,31 +146,33 @@
             if server.version(&prompt.model) != Some(version) || server.is_suspect(now) {
                 return None;
             }
-            let assumed = !server.held.is_current(now) && homes.rank(*key).is_some();
-            let held = if assumed {
+            let unconfirmed = !server.held.is_current(now) && homes.rank(*key).is_some();
+            let held = if unconfirmed {
                 shared_tokens
             } else {
-                held_tokens(prompt, salt, |part, tokens| server.held.shown(now, part, tokens))
+                held_tokens(prompt, salt, |part, tokens| {
+                    server.held.confirmed_tokens(now, part, tokens)
+                })
             };
             Some(Source {
-                place: Place::Engine(*key),
+                place: Location::Engine(*key),
                 address: server.entry.address,
                 tokens: held,
-                link: engine.link as f64,
+                link_bytes_per_s: engine.link as f64,
                 zone: server.entry.zone.clone(),
-                assumed,
+                unconfirmed,
             })
         });
         let token_bytes = engine.token_bytes as f64;
-        let mut found: Vec<Source> =
-            engines.filter(|source| source.tokens >= WORTH_MOVING).collect();
+        let mut sources: Vec<Source> =
+            engines.filter(|source| source.tokens >= MIN_FETCH_TOKENS).collect();
         let rank = |source: &Source| match source.place {
-            Place::Engine(key) => homes.rank(key).unwrap_or(usize::MAX),
-            Place::Store => usize::MAX,
+            Location::Engine(key) => homes.rank(key).unwrap_or(usize::MAX),
+            Location::Store => usize::MAX,
         };
-        found.sort_by_key(rank);
-        found.extend(self.store_source(now, prompt, salt, token_bytes));
-        Sources { found, token_bytes, store_delay_ms: self.link.delay_ms(now) }
+        sources.sort_by_key(rank);
+        sources.extend(self.store_source(now, prompt, salt, token_bytes));
+        Sources { sources, token_bytes, store_delay_ms: self.link.delay_ms(now) }
     }
 
     /// The KV store as a source, where its link has room.
@@ -179,45 +184,47 @@
         token_bytes: f64,
     ) -> Option<Source> {
         let store = self.table.as_ref()?.kv_store().filter(|_| self.kept.is_up(now))?;
-        let tokens =
-            held_tokens(prompt, salt, |part, tokens| self.kept.held.shown(now, part, tokens));
-        let has_room = self.link.has(f64::from(tokens) * token_bytes);
-        (tokens >= WORTH_MOVING && has_room).then_some(Source {
-            place: Place::Store,
+        let tokens = held_tokens(prompt, salt, |part, tokens| {
+            self.kept.held.confirmed_tokens(now, part, tokens)
+        });
+        let has_room = self.link.has_room(f64::from(tokens) * token_bytes);
+        (tokens >= MIN_FETCH_TOKENS && has_room).then_some(Source {
+            place: Location::Store,
             address: store.address,
             tokens,
-            link: store.link as f64,
+            link_bytes_per_s: store.link as f64,
             zone: store.zone.clone(),
-            assumed: false,
+            unconfirmed: false,
         })
     }
 
     /// By how much longer the KV store's link is used for a transfer to or from an engine.
-    pub(in crate::fleet) fn store_zones(&self, server: server::Key) -> f64 {
+    pub(in crate::fleet) fn store_zone_factor(&self, server: server::Key) -> f64 {
         let store = self.table.as_ref().and_then(|table| table.kv_store());
         let zone = self.servers.get(server).map(|server| server.entry.zone.as_str());
         match (store, zone) {
-            (Some(store), Some(zone)) => zones(&store.zone, zone),
-            _ => OTHER_ZONE,
+            (Some(store), Some(zone)) => zone_factor(&store.zone, zone),
+            _ => CROSS_ZONE_FACTOR,
         }
     }
 
     /// Where an engine sends what it reads: the KV store, where it lacks shared parts of the prompt that
     /// are not on their way, and its link has room for the whole prompt.
-    pub(in crate::fleet) fn save_to(
+    pub(in crate::fleet) fn save_target(
         &self,
         now: Time,
         prompt: &Prompt,
         salt: &str,
         pool: &str,
-        zones: f64,
+        zone_factor: f64,
     ) -> Option<(SocketAddr, f64)> {
         let table = self.table.as_ref()?;
         let store = table.kv_store().filter(|_| self.kept.is_up(now))?;
         let parts = shared(&prompt.parts);
-        let lacks = parts.iter().any(|part| !self.kept.will_have(now, salt, *part));
-        let bytes = f64::from(prompt.input) * table.engine(pool)?.token_bytes as f64 * zones;
-        let worth = shared_tokens(prompt) >= WORTH_MOVING && lacks && self.link.has(bytes);
-        worth.then_some((store.address, bytes))
+        let is_missing = parts.iter().any(|part| !self.kept.will_hold(now, salt, *part));
+        let bytes = f64::from(prompt.input) * table.engine(pool)?.token_bytes as f64 * zone_factor;
+        let worthwhile =
+            shared_tokens(prompt) >= MIN_FETCH_TOKENS && is_missing && self.link.has_room(bytes);
+        worthwhile.then_some((store.address, bytes))
     }
 }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -78,8 +78,8 @@
     fn put_namings_together(&mut self, now: Time) {
         let mut named = self.rollout.seen_named.clone();
         for peer in self.peers.values() {
-            let (Some(digest), Some(heard)) = (&peer.digest, peer.heard) else { continue };
-            named.hear(now, &digest.named, heard, peer.delay());
+            let (Some(digest), Some(heard)) = (&peer.digest, peer.heard_at) else { continue };
+            named.hear(now, &digest.named, heard, peer.digest_delay());
         }
         self.rollout.named = named;
     }
@@ -310,7 +310,7 @@
 
     /// Takes over records of the lease.
     pub(super) fn lease_read(&mut self, now: Time, first: u64, records: &[(u64, String)]) {
-        self.came_up(now, Tracked::Lease);
+        self.mark_readable(now, Tracked::Lease);
         let before = self.lease.held().map(|held| held.fence);
         self.lease.skip_to(first);
         for (offset, text) in records {
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -76,7 +76,7 @@
         self.ranking.before =
             ranked.iter().filter(|(standing, _)| standing.order(&own).is_lt()).count();
         let silent = |id: &str| {
-            self.peers.get(id).is_none_or(|peer| peer.has_fallen_silent(now, SILENT_AFTER))
+            self.peers.get(id).is_none_or(|peer| peer.is_silent_or_draining(now, SILENT_AFTER))
         };
         ranked.retain(|(_, id)| id.is_none_or(|id| !silent(id)));
         if !self.draining {
@@ -87,7 +87,7 @@
         let schedulers: Vec<String> =
             first.map(|(_, id)| id.unwrap_or(&self.identity.id).to_owned()).collect();
         for (id, peer) in &mut self.peers {
-            peer.watch(now, schedulers.contains(id), SILENT_AFTER);
+            peer.update_rank(now, schedulers.contains(id), SILENT_AFTER);
         }
         let newcomers = schedulers.iter().filter(|id| !self.ranking.schedulers.contains(id));
         let newcomers = newcomers.filter_map(|id| self.peer_address(id)).collect();
@@ -152,7 +152,7 @@
     pub(in crate::fleet) fn some_scheduler(&self, now: Time) -> Option<&str> {
         let heard =
             self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now) && !peer.is_draining());
-        heard.max_by_key(|(_, peer)| peer.heard).map(|(id, _)| id.as_str())
+        heard.max_by_key(|(_, peer)| peer.heard_at).map(|(id, _)| id.as_str())
     }
 
     /// Submits nothing to a scheduler for a while that left a submission without a word.
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -95,7 +95,7 @@
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
             Step::Left => self.forget(now, key),
-            Step::Report(report) => self.report(now, key, progress.attempt, report),
+            Step::Report(report) => self.handle_report(now, key, progress.attempt, report),
         }
     }
 
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -167,18 +167,18 @@
                 if let (Some(model), Some(version)) = (&model, weights) {
                     self.saw_weights(now, server, model, version);
                 }
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.placed_began(now, key, placed);
             }
             Report::Ended => {
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.was_served(now, key);
                 self.requests.remove(&key);
             }
             Report::Refused(refused) => {
                 self.log_declined(key, server, refused);
                 self.counts.declined += 1;
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
                 self.did_not_run(now, key, refused != Refused::Gone);
             }
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::Life;
-use super::residency::Held;
+use super::residency::Residency;
 use crate::prelude::*;
 
 slotmap::new_key_type! {
@@ -73,7 +73,7 @@
     /// When its registration was last seen to be gone while that may have been the store's doing.
     pub doubted_at: Option<Time>,
     /// The parts of prompts that it keeps.
-    pub(super) held: Held,
+    pub(super) held: Residency,
     failures: u32,
     suspect_until: Time,
 }
@@ -89,7 +89,7 @@
             unanswered_since: None,
             ordered: None,
             doubted_at: None,
-            held: Held::default(),
+            held: Residency::default(),
             failures: 0,
             suspect_until: Time::ZERO,
         }
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -164,7 +164,7 @@
         }
         for vm in steady {
             let Some(node) = self.node(vm) else { continue };
-            let known = node.daemons();
+            let known = node.daemon_count();
             if node.known.contains(&Topic::Routers) && known < self.vms.len() {
                 self.wrong(
                     vm,
--- a/src/fleet/tests/catalog.rs
+++ b/src/fleet/tests/catalog.rs
@@ -12,8 +12,8 @@
 #[test]
 fn take_never_goes_back() {
     let mut catalog = Catalog::default();
-    assert!(catalog.take(Topic::Operator, &record("config", 7, Some("new"))));
-    assert!(!catalog.take(Topic::Operator, &record("config", 3, Some("old"))));
+    assert!(catalog.insert(Topic::Operator, &record("config", 7, Some("new"))));
+    assert!(!catalog.insert(Topic::Operator, &record("config", 3, Some("old"))));
     assert_eq!(catalog.since(Topic::Operator, 0), [record("config", 7, Some("new"))]);
 }
 
@@ -21,7 +21,7 @@
 fn advance_past_a_gap_changes_nothing() {
     let mut catalog = Catalog::default();
     catalog.advance(Topic::Operator, 0, 4);
-    catalog.take(Topic::Operator, &record("config", 7, Some("new")));
+    catalog.insert(Topic::Operator, &record("config", 7, Some("new")));
     catalog.advance(Topic::Operator, 6, 8);
     assert_eq!(catalog.end(Topic::Operator), 4);
     catalog.advance(Topic::Operator, 3, 8);
@@ -33,12 +33,12 @@
 #[test]
 fn missing_keys_of_a_whole_read_are_gone() {
     let mut catalog = Catalog::default();
-    catalog.take(Topic::Servers, &record("a", 1, Some("x")));
-    catalog.take(Topic::Servers, &record("b", 2, Some("x")));
-    catalog.take(Topic::Servers, &record("c", 9, Some("x")));
+    catalog.insert(Topic::Servers, &record("a", 1, Some("x")));
+    catalog.insert(Topic::Servers, &record("b", 2, Some("x")));
+    catalog.insert(Topic::Servers, &record("c", 9, Some("x")));
     let whole = [record("b", 2, Some("x")), record("d", 5, Some("x"))];
     // `c` came after the read began, from a peer; it is not missing.
-    assert_eq!(catalog.missing(Topic::Servers, &whole, 6), [record("a", 5, None)]);
+    assert_eq!(catalog.removals(Topic::Servers, &whole, 6), [record("a", 5, None)]);
 }
 
 quickcheck::quickcheck! {
@@ -50,7 +50,7 @@
         let fold = |records: &mut dyn Iterator<Item = &Record>| {
             let mut catalog = Catalog::default();
             for record in records {
-                catalog.take(Topic::Servers, record);
+                catalog.insert(Topic::Servers, record);
             }
             catalog.since(Topic::Servers, 0)
         };
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -54,14 +54,14 @@
             busy: Busy { running: 2, ..Busy::default() },
             parts: vec![7, u64::MAX],
         }),
-        Frame::Held(Told {
+        Frame::Held(Update {
             daemon: "router-1".into(),
-            keeper: Keeper::Engine(Life::new("server-1", 4)),
-            number: 9,
-            whole: true,
+            holder: Holder::Engine(Life::new("server-1", 4)),
+            sequence: 9,
+            full: true,
             changes: vec![(7, 0), (8, 13_300)],
         }),
-        Frame::AskHeld("router-2".into(), Keeper::Store(([10, 0, 0, 9], 80).into())),
+        Frame::AskHeld("router-2".into(), Holder::Store(([10, 0, 0, 9], 80).into())),
         Frame::Records(Batch { topic: Topic::Servers, from: 1, to: 3, records: records.clone() }),
         Frame::Snapshot(Batch { topic: Topic::Operator, from: 0, to: 3, records }),
         Frame::Poison(poison::Message::Strikes(vec![poison::Strike {
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -97,9 +97,9 @@
 #[test]
 fn one_router_that_a_peer_tells_of_is_not_all_that_share_the_retry_budget() {
     let mut daemon = Daemon::new(1);
-    let unknown = daemon.node.daemons();
+    let unknown = daemon.node.daemon_count();
     told(&mut daemon, ms(20), batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]));
-    assert!(daemon.node.daemons() >= unknown, "{} of {unknown}", daemon.node.daemons());
+    assert!(daemon.node.daemon_count() >= unknown, "{} of {unknown}", daemon.node.daemon_count());
 }
 
 // A registration that was the last but one record, and whose removal was the last, is not listed: since the
@@ -243,8 +243,8 @@
 fn removals_forgotten_past_a_gap_shut_out_nothing_before_them() {
     let mut catalog = Catalog::default();
     for offset in 10_000..15_000 {
-        catalog.take(Topic::Servers, &record(&format!("s-{offset}"), offset, ""));
+        catalog.insert(Topic::Servers, &record(&format!("s-{offset}"), offset, ""));
     }
     catalog.trim();
-    assert!(catalog.take(Topic::Servers, &record("s-1", 5, "plain 11 ready")));
+    assert!(catalog.insert(Topic::Servers, &record("s-1", 5, "plain 11 ready")));
 }
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -267,7 +267,7 @@
     let records = vec![Record { key: "router-2".into(), offset: 8, value }];
     let batch = Batch { topic: Topic::Routers, from: 8, to: 9, records };
     daemon.node.apply(ms(10), Message::Frame(Frame::Records(batch)));
-    assert!(daemon.node.daemons() > 2);
+    assert!(daemon.node.daemon_count() > 2);
 }
 
 #[test]
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -21,7 +21,7 @@
 /// What keeps parts, as a stand-in for engines and the KV store: the events of each address.
 #[derive(Default)]
 struct Keepers {
-    events: BTreeMap<std::net::SocketAddr, Vec<Stored>>,
+    events: BTreeMap<std::net::SocketAddr, Vec<CacheEvent>>,
     epochs: BTreeMap<std::net::SocketAddr, u64>,
     /// Daemons that read each address, in order.
     readers: BTreeMap<std::net::SocketAddr, Vec<usize>>,
@@ -29,7 +29,7 @@
 
 impl Keepers {
     fn keep(&mut self, last: u8, salt: &str, part: u64, tokens: u32) {
-        let stored = Stored { salt: salt.into(), part, tokens };
+        let stored = CacheEvent { salt: salt.into(), part, tokens };
         self.events.entry(address(last)).or_default().push(stored);
     }
 
@@ -38,15 +38,15 @@
         self.events.remove(&address(last));
     }
 
-    fn read(&mut self, reader: usize, at: std::net::SocketAddr, since: u64) -> EventsRead {
+    fn read(&mut self, reader: usize, at: std::net::SocketAddr, since: u64) -> EventBatch {
         self.readers.entry(at).or_default().push(reader);
         let events = self.events.get(&at).map(Vec::as_slice).unwrap_or_default();
         let from = usize::try_from(since).expect("it is small").min(events.len());
-        EventsRead {
+        EventBatch {
             epoch: self.epochs.get(&at).copied().unwrap_or_default(),
             next: events.len() as u64,
-            lost: false,
-            changes: events[from..].to_vec(),
+            has_gap: false,
+            events: events[from..].to_vec(),
         }
     }
 }
@@ -340,6 +340,6 @@
     for place in asked {
         daemon.node.apply(ms(40), Message::Events(place, None));
     }
-    let left: Vec<Place> = daemon.node.readings.keys().copied().collect();
-    assert_eq!(left, [Place::Store]);
+    let left: Vec<Location> = daemon.node.readings.keys().copied().collect();
+    assert_eq!(left, [Location::Store]);
 }
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -97,9 +97,12 @@
 }
 
 fn stored(salt: &str, parts: &[u64], epoch: u64) -> Message {
-    let change = |part: &u64| Stored { salt: salt.into(), part: *part, tokens: 4_000 };
+    let change = |part: &u64| CacheEvent { salt: salt.into(), part: *part, tokens: 4_000 };
     let changes = parts.iter().map(change).collect();
-    Message::Events(Place::Store, Some(EventsRead { epoch, next: 0, lost: false, changes }))
+    Message::Events(
+        Location::Store,
+        Some(EventBatch { epoch, next: 0, has_gap: false, events: changes }),
+    )
 }
 
 #[test]
@@ -123,7 +126,7 @@
 fn kv_store_that_is_down_is_not_used() {
     let mut daemon = Daemon::with(1, &ENGINES);
     daemon.node.apply(ms(900), stored("1", &[7, 3], 1));
-    daemon.node.apply(ms(1_000), Message::Events(Place::Store, None));
+    daemon.node.apply(ms(1_000), Message::Events(Location::Store, None));
     let sent = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(sent.save_to, None);
     // Another engine may have the parts.
@@ -304,10 +307,10 @@
 /// The KV store keeps these parts and the engines none, by their events.
 fn hears(daemon: &mut Daemon, now: Time, parts: &[u64]) {
     daemon.node.apply(now, stored("1", parts, 1));
-    let nothing = EventsRead { epoch: 1, next: 0, lost: false, changes: Vec::new() };
+    let nothing = EventBatch { epoch: 1, next: 0, has_gap: false, events: Vec::new() };
     let engines: Vec<server::Key> = daemon.node.servers.keys().collect();
     for engine in engines {
-        let message = Message::Events(Place::Engine(engine), Some(nothing.clone()));
+        let message = Message::Events(Location::Engine(engine), Some(nothing.clone()));
         daemon.node.apply(now, message);
     }
 }
