--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -124,7 +124,7 @@
             Tracked::Topic(Topic::Routers) => ROUTERS_INTERVAL,
             Tracked::Topic(Topic::Servers) if self.is_relied_on(now) => MIN_SERVERS_INTERVAL,
             Tracked::Topic(Topic::Servers) => {
-                let daemons = u32::try_from(self.fresh_peers(now) + 1).unwrap_or(u32::MAX);
+                let daemons = u32::try_from(self.fresh_peer_count(now) + 1).unwrap_or(u32::MAX);
                 JOINT_SERVERS_INTERVAL
                     .saturating_mul(daemons)
                     .clamp(MIN_SERVERS_INTERVAL, MAX_SERVERS_INTERVAL)
