--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -146,10 +146,10 @@
 
     /// Sends waiting requests for which there is room, in turn.
     pub(super) fn pump(&mut self, now: Time) {
-        if self.waiting.is_empty() || now < self.next_pump {
+        if self.waiting.is_empty() || now < self.next_queue_scan {
             return;
         }
-        self.next_pump = now + PUMP;
+        self.next_queue_scan = now + PUMP;
         let mut full: BTreeSet<String> = BTreeSet::new();
         for turn in self.next_turns() {
             let Some(request) = self.requests.get(&turn.key) else { continue };
@@ -173,10 +173,10 @@
     fn next_turns(&mut self) -> Vec<Turn> {
         let mut turns: Vec<Turn> = self.waiting.iter().take(TRIED).copied().collect();
         let Some(last) = turns.last().copied() else { return turns };
-        let from = self.pumped.filter(|pumped| *pumped > last).unwrap_or(last);
+        let from = self.queue_cursor.filter(|pumped| *pumped > last).unwrap_or(last);
         let after = (Bound::Excluded(from), Bound::Unbounded);
         turns.extend(self.waiting.range(after).take(TRIED));
-        self.pumped = turns.last().copied().filter(|_| turns.len() == 2 * TRIED);
+        self.queue_cursor = turns.last().copied().filter(|_| turns.len() == 2 * TRIED);
         turns
     }
 
--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -25,7 +25,7 @@
 
     /// The same, with the request's newest attempt and the server that it went to.
     fn about_attempt(&self, request: &Request, server: server::Key) -> Detail {
-        let id = self.servers.get(server).map_or("", |server| server.entry.life.id.as_str());
+        let id = self.servers.get(server).map_or("", |server| server.entry.incarnation.id.as_str());
         Self::about(request).and("attempt", request.sends).and("server", id)
     }
 
@@ -46,14 +46,14 @@
         let load = self.load(choice.server, server);
         let detail = Self::about(request)
             .and("attempt", request.sends)
-            .and("server", server.entry.life.id.as_str())
+            .and("server", server.entry.incarnation.id.as_str())
             .and("address", server.entry.address)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("cost_ms", choice.cost_ms.round())
             .and("read_tokens", choice.tokens)
             .and("held_tokens", choice.held)
             .and("fetched_tokens", choice.fetched)
-            .and_some("events_ms_ago", server.held.age(now))
+            .and_some("events_ms_ago", server.residency.age(now))
             .and("running", load.running)
             .and("running_here", server.running)
             .and_some("told_ms_ago", load.told_at().map(|at| now.saturating_sub(at)))
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn log_refused(&mut self, now: Time, key: Key, code: Code, after: Duration) {
-        *self.refused.entry(code).or_default() += 1;
+        *self.refusals.entry(code).or_default() += 1;
         let Some(request) = self.requests.get(&key) else { return };
         let waited = match request.phase {
             Phase::Waiting(since) => now.saturating_sub(since),
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -59,7 +59,7 @@
             Figure::new("waiting", self.waiting.len() as u64),
             Figure::new("lease_mine", u64::from(self.lease.fence(now).is_some())),
             Figure::new("lease_fence", self.lease.held().map_or(0, |held| held.fence)),
-            Figure::new("kv_store_up", u64::from(self.kept.is_up(now))),
+            Figure::new("kv_store_up", u64::from(self.kv_store.is_up(now))),
             Figure::new("scheduler", u64::from(self.is_scheduler(now))),
             Figure::new("scheduled_for_others", self.served.len() as u64),
             Figure::new("submitted", self.counts.submitted),
@@ -71,7 +71,7 @@
         figures.extend(
             self.counts.rows().map(|(outcome, n)| Figure::of("attempts", "outcome", outcome, n)),
         );
-        let refused = self.refused.iter();
+        let refused = self.refusals.iter();
         figures.extend(
             refused
                 .map(|(code, n)| Figure::of("refused", "code", code.row().number.to_string(), *n)),
@@ -113,7 +113,7 @@
 
     fn show_servers(&self, now: Time, figures: &mut Vec<Figure>) {
         for (key, server) in &self.servers {
-            let id = server.entry.life.id.as_str();
+            let id = server.entry.incarnation.id.as_str();
             let load = self.load(key, server);
             let mut show = |name, value| figures.push(Figure::of(name, "server", id, value));
             show("running", u64::from(load.running));
@@ -121,8 +121,8 @@
             show("usable", u64::from(server.is_usable(now)));
             show("failures_in_a_row", u64::from(server.failures()));
             show("silent_ms", ms(load.silence(now)));
-            show("parts_held", server.held.len() as u64);
-            show("events_age_ms", server.held.age(now).map_or(0, ms));
+            show("parts_held", server.residency.len() as u64);
+            show("events_age_ms", server.residency.age(now).map_or(0, ms));
             if let Some(version) = server.entry.weights.values().max() {
                 show("weights", *version);
             }
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -5,7 +5,7 @@
 use prost::Message as _;
 
 use super::scheduling::{Progress, Submission, Verdict};
-use super::{Batch, Keeper, Life, Naming, Notice, Record, Told, Topic};
+use super::{Batch, Incarnation, Keeper, Naming, Notice, Record, Told, Topic};
 use crate::poison::{self, Blocked, Fingerprint};
 use crate::prelude::*;
 use crate::quota::Use;
@@ -50,9 +50,9 @@
     /// The offsets before which it misses no record, in the order of [`Topic::ALL`].
     pub ends: Vec<u64>,
     /// Its work by server.
-    pub busy: BTreeMap<Life, Busy>,
+    pub busy: BTreeMap<Incarnation, Busy>,
     /// Weights that servers were seen to have: server, model, version.
-    pub weights: Vec<(Life, String, u64)>,
+    pub weights: Vec<(Incarnation, String, u64)>,
     /// The parts of prompts that most of its work is for, with milliseconds of work a second; none
     /// in most digests.
     pub heat: Vec<(u64, f32)>,
@@ -182,7 +182,9 @@
 impl From<Keeper> for wire::Keeper {
     fn from(keeper: Keeper) -> Self {
         match keeper {
-            Keeper::Engine(life) => Self { server: life.id, born: life.born, store: String::new() },
+            Keeper::Engine(life) => {
+                Self { server: life.id, born: life.started_ms, store: String::new() }
+            }
             Keeper::Store(address) => {
                 Self { server: String::new(), born: 0, store: address.to_string() }
             }
@@ -193,7 +195,7 @@
 fn named(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
     let keeper = keeper.ok_or_else(|| Malformed("the frame names no keeper".into()))?;
     if !keeper.server.is_empty() {
-        return Ok(Keeper::Engine(Life::new(keeper.server, keeper.born)));
+        return Ok(Keeper::Engine(Incarnation::new(keeper.server, keeper.born)));
     }
     let address = keeper.store.parse();
     address.map(Keeper::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
@@ -280,11 +282,11 @@
     }
 }
 
-impl From<(Life, Busy)> for wire::Busy {
-    fn from((life, busy): (Life, Busy)) -> Self {
+impl From<(Incarnation, Busy)> for wire::Busy {
+    fn from((life, busy): (Incarnation, Busy)) -> Self {
         Self {
             server: life.id,
-            born: life.born,
+            born: life.started_ms,
             running: busy.running,
             pending_tokens: busy.pending_tokens,
             ordered: busy.ordered,
@@ -294,12 +296,12 @@
     }
 }
 
-impl From<wire::Busy> for (Life, Busy) {
+impl From<wire::Busy> for (Incarnation, Busy) {
     fn from(busy: wire::Busy) -> Self {
         let wire::Busy { server, running, pending_tokens, ordered, heard_ms, unanswered_ms, born } =
             busy;
         let busy = Busy { running, pending_tokens, ordered, heard_ms, unanswered_ms };
-        (Life::new(server, born), busy)
+        (Incarnation::new(server, born), busy)
     }
 }
 
@@ -309,7 +311,7 @@
         let busy = digest.busy.into_iter().map(wire::Busy::from);
         let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
             server: life.id,
-            born: life.born,
+            born: life.started_ms,
             model,
             version,
         });
@@ -358,7 +360,7 @@
         if !digest.cores.is_finite() {
             return Err(Malformed("the digest's VM has no number of cores".into()));
         }
-        let busy = digest.busy.into_iter().map(<(Life, Busy)>::from);
+        let busy = digest.busy.into_iter().map(<(Incarnation, Busy)>::from);
         Ok(Self {
             daemon: digest.daemon,
             address: digest.address,
@@ -373,7 +375,7 @@
                 .weights
                 .into_iter()
                 .map(|weights| {
-                    (Life::new(weights.server, weights.born), weights.model, weights.version)
+                    (Incarnation::new(weights.server, weights.born), weights.model, weights.version)
                 })
                 .collect(),
             heat: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -4,7 +4,7 @@
 
 use super::peer::{INTERVAL, Peer};
 use super::scheduling::Standing;
-use super::{Batch, Busy, Digest, Effect, Frame, Life, Node, Topic};
+use super::{Batch, Busy, Digest, Effect, Frame, Incarnation, Node, Topic};
 use crate::prelude::*;
 
 /// Peers that a daemon tells of itself at least, the schedulers included: records and ages spread also
@@ -59,7 +59,11 @@
 
     /// Daemons that share the retry budget.
     pub(super) fn daemons(&self) -> usize {
-        if self.known.contains(&Topic::Routers) { self.peers.len() + 1 } else { ASSUMED_DAEMONS }
+        if self.known_topics.contains(&Topic::Routers) {
+            self.peers.len() + 1
+        } else {
+            ASSUMED_DAEMONS
+        }
     }
 
     /// Peers that were heard of, and when.
@@ -86,7 +90,7 @@
     pub(super) fn gossip(&mut self, now: Time) {
         if now >= self.next_digest {
             // Peers that have fallen silent no longer count.
-            self.others_are_stale = true;
+            self.peer_loads_stale = true;
             self.send_digests(now);
         }
         self.ask_for_records(now);
@@ -100,8 +104,8 @@
         self.next_digest = now + interval;
         let (schedulers, others) = self.due(now, schedules);
         let mut digest = Digest { interval, ..self.digest(now) };
-        if now >= self.next_heat {
-            self.next_heat = now + HEAT_INTERVAL;
+        if now >= self.next_heat_digest {
+            self.next_heat_digest = now + HEAT_INTERVAL;
             let hottest = self.heat.top(now, HEAT_PARTS).into_iter();
             digest.heat = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
         }
@@ -172,8 +176,8 @@
         let busy = self
             .servers
             .values()
-            .filter(|server| server.running > 0 || server.ordered.is_some())
-            .map(|server| (server.entry.life.clone(), server.busy(now)));
+            .filter(|server| server.running > 0 || server.order.is_some())
+            .map(|server| (server.entry.incarnation.clone(), server.busy(now)));
         let seen = self.rollout.seen.iter();
         Digest {
             daemon: self.identity.id.clone(),
@@ -188,12 +192,12 @@
             weights: seen.map(|(life, model, v, _)| (life.clone(), model.clone(), *v)).collect(),
             heat: Vec::new(),
             refused: self.expected.own(),
-            link_moved: self.link.moved(),
+            link_moved: self.kv_link.moved(),
             blocked: self.poison.unkept(now),
             sent: now,
             named: self.rollout.seen_named.told(now, self.policy.weights_limit),
             missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
-            keeper: self.keeping.name().to_owned(),
+            keeper: self.quota_leadership.name().to_owned(),
             used: self.quota.used(now),
         }
     }
@@ -222,7 +226,7 @@
     /// Answers a peer that wants the records of a topic from an offset.
     fn asked(&mut self, daemon: &str, topic: Topic, from: u64) {
         let Some(peer) = self.peers.get(daemon) else { return };
-        if !self.known.contains(&topic) {
+        if !self.known_topics.contains(&topic) {
             return;
         }
         let to = self.catalog.end(topic);
@@ -238,9 +242,9 @@
 
     /// Takes over what a peer tells of a topic, which may be all that was missing of it.
     fn hear_topic(&mut self, topic: Topic, take: impl FnOnce(&mut Self)) {
-        let was_known = self.known.contains(&topic);
+        let was_known = self.known_topics.contains(&topic);
         take(self);
-        if !was_known && self.known.contains(&topic) {
+        if !was_known && self.known_topics.contains(&topic) {
             let records = self.catalog.since(topic, 0).len();
             let detail = Detail::of("topic", format!("{topic:?}")).and("records", records);
             self.event(Event::SnapshotTaken, detail);
@@ -266,7 +270,7 @@
             self.meet(now, digest.daemon.clone(), address, digest.cores);
         }
         for (life, model, version) in &digest.weights {
-            if let Some(key) = self.lives.server(life) {
+            if let Some(key) = self.incarnations.server(life) {
                 self.saw_weights(now, key, model, *version);
             }
         }
@@ -279,7 +283,7 @@
             let known =
                 peer.digest.as_ref().filter(|known| known.incarnation == digest.incarnation);
             let moved = known.map(|known| digest.link_moved.saturating_sub(known.link_moved));
-            self.link.take_off(moved.unwrap_or_default());
+            self.kv_link.take_off(moved.unwrap_or_default());
             let restarted =
                 peer.digest.as_ref().is_some_and(|known| known.incarnation != digest.incarnation);
             peer.heard = Some(now);
@@ -300,7 +304,7 @@
                 self.has_restarted(now, &daemon, incarnation);
             }
         }
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Takes over that a peer which knew of records up to an end had missed nothing that operators published for some
@@ -320,12 +324,12 @@
     }
 
     /// Takes over what a peer has at one server now.
-    pub(super) fn peer_has(&mut self, daemon: &str, life: Life, busy: Busy) {
+    pub(super) fn peer_has(&mut self, daemon: &str, life: Incarnation, busy: Busy) {
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
         digest.busy.insert(life, busy);
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Milliseconds of work a second that peers have for a part, as far as they told of it.
@@ -337,15 +341,15 @@
     /// Adds up what peers have at each server, where they told something new: many digests come between
     /// two requests.
     pub(super) fn sum_others(&mut self, now: Time) {
-        if !std::mem::take(&mut self.others_are_stale) {
+        if !std::mem::take(&mut self.peer_loads_stale) {
             return;
         }
-        self.others.clear();
+        self.peer_loads.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
             let (Some(digest), Some(told)) = (&peer.digest, peer.heard) else { continue };
             for (life, busy) in &digest.busy {
-                if let Some(key) = self.lives.server(life) {
-                    self.others.entry(key).or_default().add(told, busy);
+                if let Some(key) = self.incarnations.server(life) {
+                    self.peer_loads.entry(key).or_default().add(told, busy);
                 }
             }
         }
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -65,7 +65,7 @@
         let mut ranked: Vec<(server::Key, &Server)> = keys
             .iter()
             .filter_map(|key| Some((*key, self.servers.get(*key)?)))
-            .filter(|(_, server)| !server.entry.leaving)
+            .filter(|(_, server)| !server.entry.draining)
             .collect();
         let Some((last, earlier)) = shared(&prompt.parts).split_last() else {
             return Homes::default();
@@ -74,7 +74,7 @@
         let mut narrow = |part: u64, spare: fn(usize) -> usize| {
             let part = keyed(owner, part);
             ranked.sort_by_cached_key(|(_, server)| {
-                std::cmp::Reverse(xxh3_64_with_seed(server.entry.life.id.as_bytes(), part))
+                std::cmp::Reverse(xxh3_64_with_seed(server.entry.incarnation.id.as_bytes(), part))
             });
             let count = copies(self.work_ms(now, part), servers);
             ranked.truncate(spare(count));
--- a/src/fleet/life.rs
+++ b/src/fleet/incarnation.rs
@@ -10,22 +10,22 @@
 
 /// One life of a server.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Life {
+pub struct Incarnation {
     /// The server's id.
     pub id: String,
     /// When it started, in Unix milliseconds by its own clock; 0 where it does not say.
-    pub born: u64,
+    pub started_ms: u64,
 }
 
-impl Life {
+impl Incarnation {
     /// The life of server `id` that began at `born`.
     ///
     /// ```
-    /// use cardamomvalve::fleet::Life;
-    /// assert!(Life::new("i-1", 5) < Life::new("i-1", 6));
+    /// use cardamomvalve::fleet::Incarnation;
+    /// assert!(Incarnation::new("i-1", 5) < Incarnation::new("i-1", 6));
     /// ```
     pub fn new(id: impl Into<String>, born: u64) -> Self {
-        Self { id: id.into(), born }
+        Self { id: id.into(), started_ms: born }
     }
 }
 
@@ -51,24 +51,26 @@
 
 /// The newest life of each server.
 #[derive(Debug, Default)]
-pub(super) struct Lives {
+pub(super) struct Incarnations {
     newest: BTreeMap<String, Newest>,
 }
 
-impl Lives {
+impl Incarnations {
     /// What is known of `life`.
-    pub(super) fn find(&self, life: &Life) -> Known {
+    pub(super) fn find(&self, life: &Incarnation) -> Known {
         match self.newest.get(&life.id) {
             None => Known::New,
-            Some(newest) if life.born < newest.born => Known::Ended,
+            Some(newest) if life.started_ms < newest.born => Known::Ended,
             Some(Newest { server: None, .. }) => Known::New,
-            Some(Newest { born, server: Some(key) }) if life.born == *born => Known::Same(*key),
+            Some(Newest { born, server: Some(key) }) if life.started_ms == *born => {
+                Known::Same(*key)
+            }
             Some(Newest { server: Some(key), .. }) => Known::Next(*key),
         }
     }
 
     /// The server of exactly this life.
-    pub(super) fn server(&self, life: &Life) -> Option<server::Key> {
+    pub(super) fn server(&self, life: &Incarnation) -> Option<server::Key> {
         match self.find(life) {
             Known::Same(key) => Some(key),
             Known::New | Known::Next(_) | Known::Ended => None,
@@ -80,15 +82,15 @@
         self.newest.get(id)?.server
     }
 
-    pub(super) fn begin(&mut self, life: &Life, server: server::Key) {
-        let newest = Newest { born: life.born, server: Some(server) };
+    pub(super) fn begin(&mut self, life: &Incarnation, server: server::Key) {
+        let newest = Newest { born: life.started_ms, server: Some(server) };
         self.newest.insert(life.id.clone(), newest);
     }
 
     /// Notes that `life` is no longer registered.
-    pub(super) fn end(&mut self, life: &Life) {
+    pub(super) fn end(&mut self, life: &Incarnation) {
         if let Some(newest) = self.newest.get_mut(&life.id)
-            && newest.born == life.born
+            && newest.born == life.started_ms
         {
             newest.server = None;
         }
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -52,12 +52,12 @@
 impl Node {
     /// The work of all daemons at a server.
     pub(super) fn load(&self, key: server::Key, server: &Server) -> Load {
-        let others = self.others.get(&key).copied().unwrap_or_default();
+        let others = self.peer_loads.get(&key).copied().unwrap_or_default();
         Load {
             running: others.running + server.running,
             pending_tokens: others.pending_tokens.saturating_add(server.pending_tokens),
             ordered: others.ordered,
-            heard_at: others.heard_at.max(server.heard_at),
+            heard_at: others.heard_at.max(server.last_answer_at),
             unanswered_since: earlier(others.unanswered_since, server.unanswered_since),
             told_at: others.told_at,
         }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -6,7 +6,7 @@
 
 use super::admission::{Expected, Turn};
 use super::drain::Drain;
-use super::life::Lives;
+use super::incarnation::Incarnations;
 use super::load::Load;
 use super::notice::Allowance;
 use super::peer::Peer;
@@ -72,7 +72,7 @@
     pub(super) catalog: Catalog,
     pub(super) table: Option<Arc<Table>>,
     pub(super) servers: SlotMap<server::Key, Server>,
-    pub(super) lives: Lives,
+    pub(super) incarnations: Incarnations,
     /// Servers by pool.
     pub(super) pools: BTreeMap<String, Vec<server::Key>>,
     pub(super) requests: BTreeMap<Key, Request>,
@@ -88,51 +88,51 @@
     /// Other daemons' requests that this one schedules.
     pub(super) served: Served,
     /// Own requests on which a scheduler has yet to say something.
-    pub(super) asked: BTreeSet<Key>,
+    pub(super) awaiting_scheduler: BTreeSet<Key>,
     /// Peers' work by server.
-    pub(super) others: BTreeMap<server::Key, Load>,
+    pub(super) peer_loads: BTreeMap<server::Key, Load>,
     /// Whether peers told something since that was added up.
-    pub(super) others_are_stale: bool,
+    pub(super) peer_loads_stale: bool,
     pub(super) rollout: Rollout,
     /// What workspaces have left of their quotas.
     pub(super) quota: quota::State,
-    pub(super) keeping: Keeping,
+    pub(super) quota_leadership: Keeping,
     /// Requests that end servers.
     pub(super) poison: poison::State,
     /// Servers that may have ended under requests.
-    pub(super) watch: poison::Watch,
-    pub(super) next_poison_look: Time,
+    pub(super) crash_watch: poison::Watch,
+    pub(super) next_block_expiry: Time,
     /// Work by shared part.
     pub(super) heat: Heat,
     /// What the KV store keeps.
-    pub(super) kept: Kept,
+    pub(super) kv_store: Kept,
     /// When what keeps parts is read.
-    pub(super) readings: BTreeMap<Place, Reading>,
+    pub(super) event_reads: BTreeMap<Place, Reading>,
     /// Its link.
-    pub(super) link: Link,
+    pub(super) kv_link: Link,
     pub(super) lease: lease::State,
     /// Topics that were read at least once, from the store or from a peer.
-    pub(super) known: BTreeSet<Topic>,
+    pub(super) known_topics: BTreeSet<Topic>,
     /// Keys whose newest record can't be read, and why.
-    pub(super) unreadable: BTreeMap<(Topic, String), String>,
+    pub(super) unreadable_records: BTreeMap<(Topic, String), String>,
     /// When the servers' topic could last not be read.
-    pub(super) down_at: Option<Time>,
+    pub(super) servers_down_at: Option<Time>,
     /// Since when what the store does not give can't be read.
     pub(super) unread_since: BTreeMap<Tracked, Time>,
     /// When each topic was last read from the store.
     pub(super) read_at: BTreeMap<Topic, Time>,
     /// The earliest time for the next look at what waits, and the turn after which it goes on.
-    pub(super) next_pump: Time,
-    pub(super) pumped: Option<Turn>,
+    pub(super) next_queue_scan: Time,
+    pub(super) queue_cursor: Option<Turn>,
     /// Notices that may be sent now.
-    pub(super) allowance: Allowance,
+    pub(super) notice_allowance: Allowance,
     pub(super) next_digest: Time,
-    pub(super) next_heat: Time,
+    pub(super) next_heat_digest: Time,
     pub(super) behind: BTreeMap<Topic, Time>,
     pub(super) draining: bool,
     pub(super) counts: Counts,
     /// Refusals since the start, by code.
-    pub(super) refused: BTreeMap<Code, u64>,
+    pub(super) refusals: BTreeMap<Code, u64>,
     pub(super) rng: fastrand::Rng,
     pub(super) effects: Vec<Effect>,
 }
@@ -148,7 +148,7 @@
             catalog: Catalog::default(),
             table: None,
             servers: SlotMap::with_key(),
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
             pools: BTreeMap::new(),
             requests: BTreeMap::new(),
             waiting: BTreeSet::new(),
@@ -158,34 +158,34 @@
             peers: Peer::seeds(seeds, identity.address),
             ranking: Ranking::default(),
             served: Served::default(),
-            asked: BTreeSet::new(),
-            others: BTreeMap::new(),
-            others_are_stale: false,
+            awaiting_scheduler: BTreeSet::new(),
+            peer_loads: BTreeMap::new(),
+            peer_loads_stale: false,
             rollout: Rollout::default(),
             quota: quota::State::new(policy.quota),
-            keeping: Keeping::default(),
+            quota_leadership: Keeping::default(),
             poison: poison::State::default(),
-            watch: poison::Watch::default(),
-            next_poison_look: Time::ZERO,
+            crash_watch: poison::Watch::default(),
+            next_block_expiry: Time::ZERO,
             heat: Heat::default(),
-            kept: Kept::default(),
-            readings: BTreeMap::new(),
-            link: Link::default(),
+            kv_store: Kept::default(),
+            event_reads: BTreeMap::new(),
+            kv_link: Link::default(),
             lease,
-            known: BTreeSet::new(),
-            unreadable: BTreeMap::new(),
-            down_at: None,
+            known_topics: BTreeSet::new(),
+            unreadable_records: BTreeMap::new(),
+            servers_down_at: None,
             unread_since: BTreeMap::new(),
             read_at: BTreeMap::new(),
-            next_pump: Time::ZERO,
-            pumped: None,
-            allowance: Allowance::default(),
+            next_queue_scan: Time::ZERO,
+            queue_cursor: None,
+            notice_allowance: Allowance::default(),
             next_digest: Time::ZERO,
-            next_heat: Time::ZERO,
+            next_heat_digest: Time::ZERO,
             behind: BTreeMap::new(),
             draining: false,
             counts: Counts::default(),
-            refused: BTreeMap::new(),
+            refusals: BTreeMap::new(),
             rng,
             effects: Vec::new(),
             identity,
@@ -209,7 +209,7 @@
             Message::Probed(victim, answer) => self.probed(now, victim, answer),
             Message::Frame(frame) => self.frame(now, frame),
             Message::Stop => self.stop(now),
-            Message::StopEnds => self.stop_ends(now),
+            Message::StopEnds => self.finish_stop(now),
             Message::Tick => self.tick(now),
         }
         std::mem::take(&mut self.effects)
@@ -217,7 +217,7 @@
 
     /// Whether the platform's balancer may send callers here.
     pub fn is_ready(&self) -> bool {
-        let known = |topic| self.known.contains(&topic);
+        let known = |topic| self.known_topics.contains(&topic);
         let all = known(Topic::Operator) && known(Topic::Servers);
         all && self.table.is_some() && !self.draining
     }
@@ -228,26 +228,26 @@
     }
 
     /// Requests that are waiting or sent.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Whether requests wait or engines carry orders out, so that time matters soon.
-    pub fn is_pressed(&self) -> bool {
+    pub fn needs_fast_ticks(&self) -> bool {
         !self.waiting.is_empty()
-            || !self.asked.is_empty()
-            || !self.keeping.undecided.is_empty()
+            || !self.awaiting_scheduler.is_empty()
+            || !self.quota_leadership.undecided.is_empty()
             || self.rollout.is_active()
-            || self.watch.is_pressed()
+            || self.crash_watch.is_pressed()
     }
 
     /// The offset from which the lease is to be read next.
-    pub fn next_lease(&self) -> u64 {
+    pub fn next_lease_offset(&self) -> u64 {
         self.lease.next()
     }
 
     /// The offset of a topic before which no record is missing.
-    pub fn end(&self, topic: Topic) -> u64 {
+    pub fn end_offset(&self, topic: Topic) -> u64 {
         self.catalog.end(topic)
     }
 
@@ -262,12 +262,12 @@
 
     /// Ends what has no answer yet while it can still be told so: what waits has not run, and of what
     /// was sent nothing is known. Answers that have begun go on as long as they can.
-    fn stop_ends(&mut self, now: Time) {
+    fn finish_stop(&mut self, now: Time) {
         // What waits goes first, or it would be sent to the places that the others leave.
         let waiting = self.waiting.iter().map(|turn| turn.key);
         let at_schedulers = self.requests.iter().filter(|(_, request)| request.is_at_a_scheduler());
         let at_schedulers = at_schedulers.map(|(key, _)| *key);
-        let undecided = self.keeping.undecided.iter().copied();
+        let undecided = self.quota_leadership.undecided.iter().copied();
         let waiting: Vec<Key> = waiting.chain(at_schedulers).chain(undecided).collect();
         for key in waiting {
             self.refuse(now, key, Code::Draining);
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -5,7 +5,7 @@
 //! two digests. Without a word of it, small requests that other daemons send to that engine wait behind
 //! the prompt, and begin late.
 
-use super::{Busy, Effect, Frame, Life, Node, server};
+use super::{Busy, Effect, Frame, Incarnation, Node, server};
 use crate::prelude::*;
 
 pub(super) use crate::allowance::Allowance;
@@ -22,7 +22,7 @@
     /// The daemon.
     pub daemon: String,
     /// The server.
-    pub life: Life,
+    pub life: Incarnation,
     /// The daemon's work at it.
     pub busy: Busy,
     /// Parts, by what they are kept under, that the server begins to read or fetch.
@@ -33,7 +33,7 @@
     /// Tells peers what this daemon has at a server, where the change is of a large prompt.
     pub(super) fn notice(&mut self, now: Time, key: server::Key, tokens: u32, parts: Vec<u64>) {
         let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE) else { return };
-        let (life, busy) = (server.entry.life.clone(), server.busy(now));
+        let (life, busy) = (server.entry.incarnation.clone(), server.busy(now));
         if self.is_scheduler(now) {
             // The others are told of its load soon enough, and place nothing at the same servers.
             return;
@@ -42,8 +42,8 @@
         if peers.is_empty() {
             return;
         }
-        self.allowance.refill(now, MOST_PER_S, MOST_PER_S);
-        if self.allowance.spend(peers.len() as f64) {
+        self.notice_allowance.refill(now, MOST_PER_S, MOST_PER_S);
+        if self.notice_allowance.spend(peers.len() as f64) {
             let daemon = self.identity.id.clone();
             let notice = Notice { daemon, life, busy, parts };
             self.effects.push(Effect::Send(peers, Frame::Notice(notice)));
@@ -56,9 +56,11 @@
     /// server begins to read for others need not be read at another one.
     pub(super) fn notice_came(&mut self, now: Time, notice: Notice) {
         let Notice { daemon, life, busy, parts } = notice;
-        if let Some(server) = self.lives.server(&life).and_then(|key| self.servers.get_mut(key)) {
+        if let Some(server) =
+            self.incarnations.server(&life).and_then(|key| self.servers.get_mut(key))
+        {
             for part in parts {
-                server.held.note_sent(now, part);
+                server.residency.note_sent(now, part);
             }
         }
         self.peer_has(&daemon, life, busy);
@@ -74,7 +76,7 @@
             running: self.running,
             pending_tokens: self.pending_tokens,
             ordered: self.is_loading(now),
-            heard_ms: self.heard_at.map(age_ms),
+            heard_ms: self.last_answer_at.map(age_ms),
             unanswered_ms: self.unanswered_since.map(age_ms),
         }
     }
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -74,7 +74,7 @@
 
     /// Whether this daemon is one of the first to take the lease, as far as daemons are known.
     fn is_lease_candidate(&self) -> bool {
-        self.known.contains(&Topic::Routers) && self.rank_among_daemons() < LEASE_CANDIDATES
+        self.known_topics.contains(&Topic::Routers) && self.rank_among_daemons() < LEASE_CANDIDATES
     }
 
     /// Whether other daemons rely on what this one reads.
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -162,7 +162,7 @@
         let mut by_version: BTreeMap<u64, (String, Sources)> = BTreeMap::new();
         let mut best: Option<(Choice, Supply)> = None;
         for (key, server) in usable {
-            let Some(version) = server.version(&prompt.model) else { continue };
+            let Some(version) = server.weights_version(&prompt.model) else { continue };
             let (salt, sources) = by_version.entry(version).or_insert_with(|| {
                 let salt = salt(version, wish.isolated);
                 let sources = self.sources(now, prompt, version, &salt, &wish.homes, &request.pool);
@@ -195,7 +195,7 @@
         // What a home will soon have room for waits for it; where no home has a place, or it has waited
         // for one in vain, another engine that is idle reads the parts in time.
         let has_home = usable.iter().any(|(key, server)| {
-            let version = server.version(&prompt.model);
+            let version = server.weights_version(&prompt.model);
             let begins = |version| self.old_weights_ms(now, &prompt.model, version).is_some();
             homes.role(*key) == Role::Home && version.is_some_and(begins)
         });
@@ -215,7 +215,7 @@
         sources: &Sources,
     ) -> Option<(Choice, Supply)> {
         let prompt = wish.prompt;
-        let version = server.version(&prompt.model)?;
+        let version = server.weights_version(&prompt.model)?;
         let old_ms = self.old_weights_ms(now, &prompt.model, version)?;
         let role = wish.homes.role(key);
         let load = self.load(key, server);
@@ -224,9 +224,9 @@
             + silence_ms(now, load);
         let shared = shared_tokens(prompt);
         let held = match role {
-            Role::Home if !server.held.is_current(now) => shared,
+            Role::Home if !server.residency.is_current(now) => shared,
             Role::Home | Role::StandIn | Role::Other => {
-                held_tokens(prompt, salt, |part, tokens| server.held.tokens(now, part, tokens))
+                held_tokens(prompt, salt, |part, tokens| server.residency.tokens(now, part, tokens))
             }
         };
         let supply = sources.supply(key, &server.entry.zone, held, shared);
@@ -294,13 +294,13 @@
     /// Adds what has become free of the KV store's link.
     pub(super) fn refill_link(&mut self, now: Time) {
         let store = self.table.as_ref().and_then(|table| table.kv_store());
-        self.link.refill(now, store.map_or(0, |store| store.link));
+        self.kv_link.refill(now, store.map_or(0, |store| store.link));
     }
 
     /// What a start on this version costs; `None` where it may no longer be used, or nobody told yet which
     /// were named: a configuration may come before the topic that it is part of.
     fn old_weights_ms(&self, now: Time, model: &str, version: u64) -> Option<f64> {
-        if !self.known.contains(&Topic::Operator) {
+        if !self.known_topics.contains(&Topic::Operator) {
             return None;
         }
         let Some(age) = self.overtaken_for(now, model, version) else {
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -24,8 +24,8 @@
 impl Server {
     /// Its present life, as all daemons name it.
     fn victim(&self) -> Victim {
-        let life = &self.entry.life;
-        Victim::of(&life.id, Some(&life.born.to_string()))
+        let life = &self.entry.incarnation;
+        Victim::of(&life.id, Some(&life.started_ms.to_string()))
     }
 }
 
@@ -34,7 +34,7 @@
     pub(super) fn connection_lost(&mut self, now: Time, key: Key, server: server::Key, ran: Time) {
         let Some(fingerprint) = self.fingerprint(key) else { return };
         let Some(server) = self.servers.get(server) else { return };
-        if server.entry.leaving {
+        if server.entry.draining {
             return;
         }
         let pool = server.entry.pool.as_str();
@@ -44,28 +44,28 @@
             pool: xxh3_64(pool.as_bytes()),
             servers: self.pools.get(pool).map_or(0, |keys| keys.len() as u32),
         };
-        let steps = self.watch.lost(now, suspect, Lost { fingerprint, ran });
+        let steps = self.crash_watch.lost(now, suspect, Lost { fingerprint, ran });
         self.take_steps(now, steps);
     }
 
     /// Takes over what a look at a server's port found.
     pub(super) fn probed(&mut self, now: Time, victim: Victim, answer: Answer) {
-        let steps = self.watch.answered(now, victim, answer);
+        let steps = self.crash_watch.answered(now, victim, answer);
         self.take_steps(now, steps);
     }
 
     /// Takes over that a server's registration is gone, or that it has started again.
     pub(super) fn registration_ended(&mut self, now: Time, server: &Server) {
-        if !server.entry.leaving {
-            let steps = self.watch.ended(now, server.victim());
+        if !server.entry.draining {
+            let steps = self.crash_watch.ended(now, server.victim());
             self.take_steps(now, steps);
         }
     }
 
     /// Takes over that a server answered.
     pub(super) fn lives(&mut self, now: Time, server: server::Key) {
-        if let Some(server) = self.servers.get(server).filter(|_| !self.watch.is_idle()) {
-            self.watch.heard(now, server.victim());
+        if let Some(server) = self.servers.get(server).filter(|_| !self.crash_watch.is_idle()) {
+            self.crash_watch.heard(now, server.victim());
         }
     }
 
@@ -93,7 +93,7 @@
 
     fn server_of(&self, victim: Victim) -> String {
         let known = self.servers.values().find(|server| server.victim() == victim);
-        known.map_or_else(String::new, |server| server.entry.life.id.clone())
+        known.map_or_else(String::new, |server| server.entry.incarnation.id.clone())
     }
 
     fn tell_of_poison(&mut self, addresses: Vec<SocketAddr>, message: Message) {
@@ -177,7 +177,7 @@
     /// Whether a request that has just been lost may be what ends servers, with what is not yet sure.
     pub(super) fn may_end_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
-        self.poison.is_suspect(fingerprint, self.watch.doubted(now, fingerprint))
+        self.poison.is_suspect(fingerprint, self.crash_watch.doubted(now, fingerprint))
     }
 
     fn fingerprint(&self, key: Key) -> Option<Fingerprint> {
@@ -211,7 +211,7 @@
 
     /// Looks at servers in doubt, has blocks written, and forgets what is too old.
     pub(super) fn look_at_poison(&mut self, now: Time) {
-        for Probe { victim, address } in self.watch.due(now) {
+        for Probe { victim, address } in self.crash_watch.due(now) {
             self.effects.push(Effect::Probe(victim, address));
         }
         if self.is_scheduler(now) {
@@ -221,10 +221,10 @@
                 due.into_iter().map(|block| Effect::WriteBlock(block.fingerprint, Some(block.age)));
             self.effects.extend(due);
         }
-        if now < self.next_poison_look {
+        if now < self.next_block_expiry {
             return;
         }
-        self.next_poison_look = now + LOOK;
+        self.next_block_expiry = now + LOOK;
         for lapsed in self.poison.expire(now) {
             self.event(Event::BlockEnded, Detail::of("fingerprint", lapsed.to_string()));
             if self.is_scheduler(now) {
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -51,25 +51,25 @@
     /// Looks at who keeps the quotas and what this daemon may let in.
     pub(super) fn look_at_quotas(&mut self, now: Time) {
         let keeper = self.quota_keeper(now);
-        if keeper != self.keeping.keeper {
-            let former = self.keeping.keeper.as_str();
+        if keeper != self.quota_leadership.keeper {
+            let former = self.quota_leadership.keeper.as_str();
             let stopped = self.peers.get(former).is_some_and(Peer::is_draining);
             // Who has just started lends its share for the first time, so nobody else counts it.
             let wait = if former.is_empty() || stopped { Duration::ZERO } else { TAKES_OVER };
-            self.keeping.taking_over_until = now + wait;
-            self.keeping.keeper = keeper;
+            self.quota_leadership.taking_over_until = now + wait;
+            self.quota_leadership.keeper = keeper;
             self.next_digest = self.next_digest.min(now + INTERVAL / 5);
         }
         let role = self.quota_role(now);
         let keeps = matches!(role, Role::Keeper { .. });
-        self.keeping.since = keeps.then(|| self.keeping.since.unwrap_or(now));
+        self.quota_leadership.since = keeps.then(|| self.quota_leadership.since.unwrap_or(now));
         self.quota.set_role(now, role);
         self.look_at_undecided(now);
     }
 
     /// Tries what waits for a daemon that may let it in once more.
     fn look_at_undecided(&mut self, now: Time) {
-        for key in std::mem::take(&mut self.keeping.undecided) {
+        for key in std::mem::take(&mut self.quota_leadership.undecided) {
             if let Some(request) = self.requests.get_mut(&key) {
                 request.submissions = 0;
             }
@@ -91,7 +91,7 @@
         let waits = now < *request.undecided_until.get_or_insert(until);
         if waits {
             request.phase = Phase::Waiting(now);
-            self.keeping.undecided.insert(key);
+            self.quota_leadership.undecided.insert(key);
         }
         waits
     }
@@ -114,14 +114,14 @@
         }
         let lenders = self.peers.values().filter(|peer| peer.lends_to(now, id)).count();
         // Others notice first where the one before has ended, since their requests find it gone.
-        let is_keeper = self.keeping.keeper == *id || lenders * 2 > self.daemons();
+        let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemons();
         if !is_keeper {
-            let keeper = self.peers.get(&self.keeping.keeper);
+            let keeper = self.peers.get(&self.quota_leadership.keeper);
             return Role::Deputy { is_told: keeper.is_some_and(|keeper| keeper.is_told_of(now)) };
         }
         let lent = (lenders + 1) as f64 / self.lending_daemons(now) as f64;
-        let since = self.keeping.since.unwrap_or(now);
-        let is_new = now < self.keeping.taking_over_until.min(since + TAKES_OVER);
+        let since = self.quota_leadership.since.unwrap_or(now);
+        let is_new = now < self.quota_leadership.taking_over_until.min(since + TAKES_OVER);
         Role::Keeper { lent: lent.min(1.0), is_new }
     }
 
@@ -230,7 +230,7 @@
             .and("burst", quota.burst)
             .and("role", role)
             .and("lent", lent)
-            .and("keeper", self.keeping.keeper.as_str());
+            .and("keeper", self.quota_leadership.keeper.as_str());
         self.event(Event::QuotaUsed, detail);
     }
 }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,6 +1,6 @@
 //! Records of the platform's store, and what they change.
 
-use super::life::Known;
+use super::incarnation::Known;
 use super::request::{Phase, Request};
 use super::{
     Batch, Change, Effect, Entry, Key, Node, Place, Read, Record, Server, Topic, Tracked, server,
@@ -34,7 +34,7 @@
     /// Whether nothing is known to have been published by operators that this daemon lacks.
     pub(super) fn lacks_nothing(&self) -> bool {
         let topic = Topic::Operator;
-        self.known.contains(&topic)
+        self.known_topics.contains(&topic)
             && self.catalog.is_whole(topic)
             && !self.behind.contains_key(&topic)
     }
@@ -46,7 +46,7 @@
         self.take_records(now, topic, &gone);
         self.take_records(now, topic, &batch.records);
         self.catalog.take_whole(topic, to);
-        self.known.insert(topic);
+        self.known_topics.insert(topic);
     }
 
     /// Takes a batch from the store or from a peer, and tells some peers of what was new in it.
@@ -55,7 +55,7 @@
         // A peer tells of new records one by one: with a gap before them they are a part of the topic,
         // and what is read next may be older than they are.
         if self.catalog.advance(batch.topic, batch.from, batch.to) {
-            self.known.insert(batch.topic);
+            self.known_topics.insert(batch.topic);
         }
         if tell && any_new && batch.records.len() <= MAX_TOLD {
             self.tell_records(now, batch);
@@ -64,7 +64,7 @@
 
     pub(super) fn went_down(&mut self, now: Time, tracked: Tracked, reason: &str) {
         if tracked == Tracked::Topic(Topic::Servers) {
-            self.down_at = Some(now);
+            self.servers_down_at = Some(now);
         }
         if self.unread_since.contains_key(&tracked) {
             return;
@@ -93,7 +93,7 @@
             any_new = true;
             match (self.decode)(topic, record) {
                 Ok(change) => {
-                    self.unreadable.remove(&(topic, record.key.clone()));
+                    self.unreadable_records.remove(&(topic, record.key.clone()));
                     self.change(now, change);
                 }
                 Err(reason) => self.unreadable(now, topic, record, reason),
@@ -112,7 +112,7 @@
     fn unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
         self.counts.unreadable += 1;
         if topic == Topic::Servers
-            && let Some(key) = self.lives.registered(&record.key)
+            && let Some(key) = self.incarnations.registered(&record.key)
         {
             self.remove(now, key);
         }
@@ -121,13 +121,13 @@
             .and("offset", record.offset)
             .and("reason", reason.as_str());
         let key = (topic, record.key.clone());
-        if self.unreadable.get(&key) == Some(&reason) {
+        if self.unreadable_records.get(&key) == Some(&reason) {
             return;
         }
-        if self.unreadable.len() >= MAX_UNREADABLE {
-            self.unreadable.pop_first();
+        if self.unreadable_records.len() >= MAX_UNREADABLE {
+            self.unreadable_records.pop_first();
         }
-        self.unreadable.insert(key, reason);
+        self.unreadable_records.insert(key, reason);
         self.event(Event::RecordUnreadable, detail);
     }
 
@@ -161,7 +161,7 @@
     /// Takes over a registration: of a server that is known, of a new one, or of one that has started
     /// again. One from a life that has ended changes nothing.
     pub(super) fn register(&mut self, now: Time, entry: Entry) {
-        match self.lives.find(&entry.life) {
+        match self.incarnations.find(&entry.incarnation) {
             Known::Ended => {}
             Known::Same(key) => self.update(key, entry),
             Known::New => self.add(entry),
@@ -171,10 +171,10 @@
 
     fn update(&mut self, key: server::Key, entry: Entry) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let was_leaving = server.entry.leaving;
-        let id = entry.life.id.clone();
+        let was_leaving = server.entry.draining;
+        let id = entry.incarnation.id.clone();
         server.update(entry);
-        if server.entry.leaving && !was_leaving {
+        if server.entry.draining && !was_leaving {
             self.event(Event::ServerLeaving, Detail::of("server", id));
         }
     }
@@ -182,24 +182,25 @@
     fn add(&mut self, entry: Entry) {
         self.event(
             Event::ServerAdded,
-            Detail::of("server", entry.life.id.as_str())
+            Detail::of("server", entry.incarnation.id.as_str())
                 .and("pool", entry.pool.as_str())
                 .and("address", entry.address)
-                .and("born", entry.life.born),
+                .and("born", entry.incarnation.started_ms),
         );
-        let (life, pool) = (entry.life.clone(), entry.pool.clone());
+        let (life, pool) = (entry.incarnation.clone(), entry.pool.clone());
         let key = self.servers.insert(Server::new(entry));
-        self.lives.begin(&life, key);
+        self.incarnations.begin(&life, key);
         self.pools.entry(pool).or_default().push(key);
         // What peers told of this life before it was known counts from now on.
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Ends what was believed of a server's former life. What it ran there has ended with it, so that
     /// which may be repeated is sent again at once instead of waiting for silence.
     fn begin_anew(&mut self, now: Time, former: server::Key, entry: Entry) {
         let address = self.servers.get(former).map(|server| server.entry.address);
-        let detail = Detail::of("server", entry.life.id.as_str()).and("born", entry.life.born);
+        let detail = Detail::of("server", entry.incarnation.id.as_str())
+            .and("born", entry.incarnation.started_ms);
         self.event(Event::ServerRestarted, detail);
         let there = self.requests.iter().filter_map(|(key, request)| match request.phase {
             Phase::Sent { server, at, .. } if server == former => Some((*key, at)),
@@ -223,10 +224,10 @@
     /// Takes a server out whose registration is gone; one that may have lapsed only because the
     /// store was away is kept until it has had time to return.
     pub(super) fn unregister(&mut self, now: Time, id: &str) {
-        let Some(key) = self.lives.registered(id) else { return };
-        if self.down_at.is_some_and(|at| now < at + LAPSED_RETURN) {
+        let Some(key) = self.incarnations.registered(id) else { return };
+        if self.servers_down_at.is_some_and(|at| now < at + LAPSED_RETURN) {
             if let Some(server) = self.servers.get_mut(key) {
-                server.doubted_at = Some(now);
+                server.unconfirmed_removal_at = Some(now);
             }
             return;
         }
@@ -234,15 +235,15 @@
     }
 
     pub(super) fn drop_lapsed(&mut self, now: Time) {
-        let Some(down_at) = self.down_at else { return };
+        let Some(down_at) = self.servers_down_at else { return };
         if now < down_at + LAPSED_RETURN {
             return;
         }
-        self.down_at = None;
+        self.servers_down_at = None;
         let lapsed: Vec<server::Key> = self
             .servers
             .iter()
-            .filter(|(_, server)| server.doubted_at.is_some())
+            .filter(|(_, server)| server.unconfirmed_removal_at.is_some())
             .map(|(key, _)| key)
             .collect();
         for key in lapsed {
@@ -252,13 +253,13 @@
 
     pub(super) fn remove(&mut self, now: Time, key: server::Key) {
         let Some(server) = self.servers.remove(key) else { return };
-        self.lives.end(&server.entry.life);
+        self.incarnations.end(&server.entry.incarnation);
         self.registration_ended(now, &server);
-        self.others.remove(&key);
-        self.readings.remove(&Place::Engine(key));
+        self.peer_loads.remove(&key);
+        self.event_reads.remove(&Place::Engine(key));
         if let Some(keys) = self.pools.get_mut(&server.entry.pool) {
             keys.retain(|other| *other != key);
         }
-        self.event(Event::ServerRemoved, Detail::of("server", server.entry.life.id));
+        self.event(Event::ServerRemoved, Detail::of("server", server.entry.incarnation.id));
     }
 }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -28,7 +28,7 @@
                 self.heard(now, server);
                 self.was_served(now, key);
                 if let Some(server) = self.servers.get_mut(server) {
-                    server.succeeded();
+                    server.record_success();
                 }
                 self.forget(now, key);
             }
@@ -68,7 +68,7 @@
     pub(super) fn heard(&mut self, now: Time, server: server::Key) {
         self.lives(now, server);
         if let Some(server) = self.servers.get_mut(server) {
-            server.heard_at = Some(now);
+            server.last_answer_at = Some(now);
         }
     }
 
@@ -87,7 +87,7 @@
         self.log_begun(now, key, at);
         if let Some(cost_ms) = self.requests.get(&key).and_then(|request| request.fetch_cost_ms) {
             let waited_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-            self.link.saw_delay(now, waited_ms - cost_ms);
+            self.kv_link.saw_delay(now, waited_ms - cost_ms);
         }
         if let Some(server) = self.servers.get_mut(server) {
             server.pending_tokens = server.pending_tokens.saturating_sub(tokens);
@@ -110,7 +110,7 @@
         }
         if let Some(server) = self.servers.get_mut(key) {
             match refused {
-                Refused::Gone => server.failed(now),
+                Refused::Gone => server.record_failure(now),
                 Refused::Busy | Refused::Weights(_) => server.refused(now),
             }
         }
@@ -118,7 +118,7 @@
 
     fn note_failure(&mut self, now: Time, key: server::Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.failed(now);
+            server.record_failure(now);
         }
     }
 }
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -27,7 +27,7 @@
     pub(super) fn terms(&self, now: Time) -> Terms {
         let part = if self.is_scheduler(now) && !self.has_just_started(now) {
             SCHEDULER_SLACK
-        } else if self.known.contains(&Topic::Routers) {
+        } else if self.known_topics.contains(&Topic::Routers) {
             OTHERS_SLACK / self.daemons() as f64
         } else {
             0.0
@@ -139,26 +139,27 @@
         request.runs += 1;
         request.tried.push(choice.server);
         request.weights = choice.weights;
-        request.fetch_cost_ms = choice.from_store.then(|| choice.cost_ms - self.link.delay_ms(now));
+        request.fetch_cost_ms =
+            choice.from_store.then(|| choice.cost_ms - self.kv_link.delay_ms(now));
         request.phase =
             Phase::Sent { server: choice.server, tokens: choice.tokens, begun: false, at: now };
         server.running += 1;
-        self.link.spend(choice.moved_bytes);
+        self.kv_link.spend(choice.moved_bytes);
         server.pending_tokens = server.pending_tokens.saturating_add(choice.tokens);
         let mut parts = Vec::new();
         if let Some(prompt) = &request.arrival.prompt {
             let salt = choice.salt.as_deref().unwrap_or_default();
             for part in shared(&prompt.parts) {
                 parts.push(keyed(salt, part.id));
-                server.held.note_sent(now, keyed(salt, part.id));
+                server.residency.note_sent(now, keyed(salt, part.id));
                 if choice.save_to.is_some() {
-                    self.kept.note(now, salt, part.id);
+                    self.kv_store.note(now, salt, part.id);
                 }
             }
         }
         let dispatch = Dispatch {
             attempt: request.sends,
-            server: server.entry.life.id.clone(),
+            server: server.entry.incarnation.id.clone(),
             address: server.entry.address,
             salt: choice.salt.clone(),
             weights: choice.weights,
@@ -216,7 +217,7 @@
         self.release(key);
         self.withdraw(key);
         self.give_back(now, key);
-        self.keeping.undecided.remove(&key);
+        self.quota_leadership.undecided.remove(&key);
         if let Some(request) = self.requests.remove(&key) {
             if let Some(origin) = &request.origin {
                 self.served.remove(origin);
--- a/src/fleet/residency/mod.rs
+++ b/src/fleet/residency/mod.rs
@@ -20,7 +20,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Life, server};
+use super::{Incarnation, server};
 
 /// What keeps parts, as this daemon knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Keeper {
     /// An engine in one of its lives.
-    Engine(Life),
+    Engine(Incarnation),
     /// The KV store at this address.
     Store(SocketAddr),
 }
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -52,7 +52,7 @@
 
     fn read_events_of(&mut self, now: Time, place: Place) {
         let Some(address) = self.keeper_address(place) else { return };
-        let reading = self.readings.entry(place).or_default();
+        let reading = self.event_reads.entry(place).or_default();
         if reading.asked.is_some_and(|at| now < at + LOST) || now < reading.due {
             return;
         }
@@ -60,7 +60,7 @@
         if !self.reads_events_of(now, place) {
             return;
         }
-        if let Some(reading) = self.readings.get_mut(&place) {
+        if let Some(reading) = self.event_reads.get_mut(&place) {
             reading.asked = Some(now);
         }
         let since = self.held(place).map_or(0, Held::next);
@@ -79,7 +79,7 @@
             return;
         }
         let pace = self.events_pace();
-        let reading = self.readings.entry(place).or_default();
+        let reading = self.event_reads.entry(place).or_default();
         reading.asked = None;
         let Some(read) = read else {
             reading.due = now + PAUSE;
@@ -93,7 +93,7 @@
         let Some(held) = self.held_mut(place) else { return };
         match held.read(now, read) {
             Heard::Missed => {
-                if let Some(reading) = self.readings.get_mut(&place) {
+                if let Some(reading) = self.event_reads.get_mut(&place) {
                     reading.due = now;
                 }
             }
@@ -105,7 +105,7 @@
     /// Takes over what a peer tells of events that it reads.
     pub(in crate::fleet) fn told_came(&mut self, now: Time, told: &Told) {
         let Some(place) = self.place_of(&told.keeper) else { return };
-        let reads = self.readings.get(&place).is_some_and(|reading| reading.asked.is_some());
+        let reads = self.event_reads.get(&place).is_some_and(|reading| reading.asked.is_some());
         if reads {
             // Both read for a moment; what this daemon reads is newer than what it is told.
             return;
@@ -114,7 +114,7 @@
         if held.hear(now, told) != Heard::Missed {
             return;
         }
-        let reading = self.readings.entry(place).or_default();
+        let reading = self.event_reads.entry(place).or_default();
         if now < reading.ask_at {
             return;
         }
@@ -138,7 +138,7 @@
 
     fn tell(&mut self, now: Time, place: Place, whole: bool, changes: Vec<(u64, u32)>) {
         let Some(keeper) = self.keeper(place) else { return };
-        if let Some(reading) = self.readings.get_mut(&place) {
+        if let Some(reading) = self.event_reads.get_mut(&place) {
             reading.told_at = now;
         }
         let Some(number) = self.held_mut(place).map(Held::next_told) else { return };
@@ -162,14 +162,14 @@
     }
 
     fn events_pace(&self) -> Duration {
-        let keepers = u32::try_from(self.readings.len()).unwrap_or(u32::MAX);
+        let keepers = u32::try_from(self.event_reads.len()).unwrap_or(u32::MAX);
         PACE_EACH.saturating_mul(keepers).clamp(PACE_LEAST, PACE_MOST)
     }
 
     fn keeper(&self, place: Place) -> Option<Keeper> {
         match place {
             Place::Engine(key) => {
-                self.servers.get(key).map(|server| Keeper::Engine(server.entry.life.clone()))
+                self.servers.get(key).map(|server| Keeper::Engine(server.entry.incarnation.clone()))
             }
             Place::Store => self.keeper_address(place).map(Keeper::Store),
         }
@@ -177,7 +177,7 @@
 
     fn place_of(&self, keeper: &Keeper) -> Option<Place> {
         match keeper {
-            Keeper::Engine(life) => self.lives.server(life).map(Place::Engine),
+            Keeper::Engine(life) => self.incarnations.server(life).map(Place::Engine),
             Keeper::Store(address) => {
                 (self.keeper_address(Place::Store) == Some(*address)).then_some(Place::Store)
             }
@@ -198,15 +198,15 @@
 
     pub(in crate::fleet) fn held(&self, place: Place) -> Option<&Held> {
         match place {
-            Place::Engine(key) => self.servers.get(key).map(|server| &server.held),
-            Place::Store => Some(&self.kept.held),
+            Place::Engine(key) => self.servers.get(key).map(|server| &server.residency),
+            Place::Store => Some(&self.kv_store.held),
         }
     }
 
     fn held_mut(&mut self, place: Place) -> Option<&mut Held> {
         match place {
-            Place::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.held),
-            Place::Store => Some(&mut self.kept.held),
+            Place::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.residency),
+            Place::Store => Some(&mut self.kv_store.held),
         }
     }
 }
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -140,14 +140,15 @@
         let keys = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
         let engines = keys.iter().filter_map(|key| {
             let server = self.servers.get(*key)?;
-            if server.version(&prompt.model) != Some(version) || server.is_suspect(now) {
+            if server.weights_version(&prompt.model) != Some(version) || server.is_backing_off(now)
+            {
                 return None;
             }
-            let assumed = !server.held.is_current(now) && homes.rank(*key).is_some();
+            let assumed = !server.residency.is_current(now) && homes.rank(*key).is_some();
             let held = if assumed {
                 shared_tokens
             } else {
-                held_tokens(prompt, salt, |part, tokens| server.held.shown(now, part, tokens))
+                held_tokens(prompt, salt, |part, tokens| server.residency.shown(now, part, tokens))
             };
             Some(Source {
                 place: Place::Engine(*key),
@@ -167,7 +168,7 @@
         };
         found.sort_by_key(rank);
         found.extend(self.store_source(now, prompt, salt, token_bytes));
-        Sources { found, token_bytes, store_delay_ms: self.link.delay_ms(now) }
+        Sources { found, token_bytes, store_delay_ms: self.kv_link.delay_ms(now) }
     }
 
     /// The KV store as a source, where its link has room.
@@ -178,10 +179,10 @@
         salt: &str,
         token_bytes: f64,
     ) -> Option<Source> {
-        let store = self.table.as_ref()?.kv_store().filter(|_| self.kept.is_up(now))?;
+        let store = self.table.as_ref()?.kv_store().filter(|_| self.kv_store.is_up(now))?;
         let tokens =
-            held_tokens(prompt, salt, |part, tokens| self.kept.held.shown(now, part, tokens));
-        let has_room = self.link.has(f64::from(tokens) * token_bytes);
+            held_tokens(prompt, salt, |part, tokens| self.kv_store.held.shown(now, part, tokens));
+        let has_room = self.kv_link.has(f64::from(tokens) * token_bytes);
         (tokens >= WORTH_MOVING && has_room).then_some(Source {
             place: Place::Store,
             address: store.address,
@@ -213,11 +214,11 @@
         zones: f64,
     ) -> Option<(SocketAddr, f64)> {
         let table = self.table.as_ref()?;
-        let store = table.kv_store().filter(|_| self.kept.is_up(now))?;
+        let store = table.kv_store().filter(|_| self.kv_store.is_up(now))?;
         let parts = shared(&prompt.parts);
-        let lacks = parts.iter().any(|part| !self.kept.will_have(now, salt, *part));
+        let lacks = parts.iter().any(|part| !self.kv_store.will_have(now, salt, *part));
         let bytes = f64::from(prompt.input) * table.engine(pool)?.token_bytes as f64 * zones;
-        let worth = shared_tokens(prompt) >= WORTH_MOVING && lacks && self.link.has(bytes);
+        let worth = shared_tokens(prompt) >= WORTH_MOVING && lacks && self.kv_link.has(bytes);
         worth.then_some((store.address, bytes))
     }
 }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -1,11 +1,11 @@
 //! Bringing engines to the weights that operators named: who orders, which engine next, and how
 //! many at once.
 
-use super::life::Known;
+use super::incarnation::Known;
 use super::loading::Loading;
 use super::naming::{Bound, Namings};
-use super::server::Ordered;
-use super::{Effect, Entry, Life, Node, OrderEnd, State, Tracked, server};
+use super::server::Order;
+use super::{Effect, Entry, Incarnation, Node, OrderEnd, State, Tracked, server};
 use crate::prelude::*;
 
 /// Time after an order until its engine is first asked whether it is done: a load takes about half
@@ -35,7 +35,7 @@
     /// Since when engines lack what was named.
     wanting_since: Option<Time>,
     /// Weights that were seen lately: server, model, version, and when.
-    pub(super) seen: Vec<(Life, String, u64, Time)>,
+    pub(super) seen: Vec<(Incarnation, String, u64, Time)>,
     /// What was seen of loads, by pool.
     loads: BTreeMap<String, Loading>,
 }
@@ -92,18 +92,18 @@
     /// Notes the version that a server was seen to have.
     pub(super) fn saw_weights(&mut self, now: Time, key: server::Key, model: &str, version: u64) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        if server.version(model).is_some_and(|known| known >= version) {
+        if server.weights_version(model).is_some_and(|known| known >= version) {
             return;
         }
-        let took = server.loading_for(now, model, version);
-        server.loaded(model, version);
+        let took = server.loading_time(now, model, version);
+        server.weights_loaded(model, version);
         let pool = server.entry.pool.clone();
         if let Some(took) = took {
             let engines = self.pools.get(&pool).map_or(1, Vec::len);
             self.rollout.loads.entry(pool).or_default().loaded(now, engines, took);
         }
         let Some(server) = self.servers.get(key) else { return };
-        let life = server.entry.life.clone();
+        let life = server.entry.incarnation.clone();
         let detail = Detail::of("server", life.id.as_str())
             .and("model", model)
             .and("version", version)
@@ -123,7 +123,7 @@
     fn wanting(&self) -> Vec<(server::Key, String, u64)> {
         let mut wanting = Vec::new();
         for (key, server) in &self.servers {
-            if server.entry.leaving || !self.is_engine(&server.entry.pool) {
+            if server.entry.draining || !self.is_engine(&server.entry.pool) {
                 continue;
             }
             for (model, version) in &server.entry.weights {
@@ -168,7 +168,7 @@
         wanting.sort_by_key(|(key, model, _)| (!self.is_overdue(now, *key, model), running(key)));
         for (key, model, version) in wanting {
             let Some(server) = self.servers.get(key) else { continue };
-            if server.ordered.is_some() || server.is_suspect(now) {
+            if server.order.is_some() || server.is_backing_off(now) {
                 continue;
             }
             let pool = server.entry.pool.clone();
@@ -191,7 +191,7 @@
     /// Whether an engine's weights will soon be too old to begin anything on. What counts is when they
     /// were overtaken: where weights are named again and again, some engine always lacks the newest.
     fn is_overdue(&self, now: Time, key: server::Key, model: &str) -> bool {
-        let version = self.servers.get(key).and_then(|server| server.version(model));
+        let version = self.servers.get(key).and_then(|server| server.weights_version(model));
         let age = version.and_then(|version| self.overtaken_for(now, model, version));
         age.is_some_and(|age| age >= self.policy.weights_limit.mul_f64(HURRY_AFTER))
     }
@@ -206,24 +206,24 @@
 
     fn order(&mut self, now: Time, key: server::Key, model: String, version: u64, fence: u64) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        server.ordered = Some(Ordered {
+        server.order = Some(Order {
             model: model.clone(),
             version,
-            at: now,
+            sent_at: now,
             accepted: false,
             poll_at: now + FIRST_POLL,
         });
         let entry = &server.entry;
         let effect = Effect::Order {
             server: key,
-            id: entry.life.id.clone(),
+            id: entry.incarnation.id.clone(),
             address: entry.address,
             model: model.clone(),
             version,
             fence,
             expect: entry.sequence,
         };
-        let detail = Detail::of("server", entry.life.id.as_str())
+        let detail = Detail::of("server", entry.incarnation.id.as_str())
             .and("model", model)
             .and("version", version)
             .and("fence", fence)
@@ -236,12 +236,12 @@
     /// Asks engines that carry an order out whether they are done.
     fn poll_ordered(&mut self, now: Time) {
         for (key, server) in &mut self.servers {
-            let Some(ordered) = &mut server.ordered else { continue };
-            if now >= ordered.at + ORDER_LOST {
-                server.ordered = None;
+            let Some(ordered) = &mut server.order else { continue };
+            if now >= ordered.sent_at + ORDER_LOST {
+                server.order = None;
             } else if now >= ordered.poll_at {
                 ordered.poll_at = now + POLL;
-                let (id, address) = (server.entry.life.id.clone(), server.entry.address);
+                let (id, address) = (server.entry.incarnation.id.clone(), server.entry.address);
                 self.effects.push(Effect::Poll(key, id, address));
             }
         }
@@ -250,28 +250,28 @@
     /// Takes over how an order ended.
     pub(super) fn order_ended(&mut self, now: Time, key: server::Key, end: OrderEnd) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let Some(ordered) = server.ordered.clone() else { return };
+        let Some(ordered) = server.order.clone() else { return };
         match end {
             OrderEnd::Accepted => {
                 server.entry.sequence += 1;
-                if let Some(ordered) = &mut server.ordered {
+                if let Some(ordered) = &mut server.order {
                     ordered.accepted = true;
                 }
                 return;
             }
             OrderEnd::Held => return self.saw_weights(now, key, &ordered.model, ordered.version),
             OrderEnd::Conflict | OrderEnd::Unknown => {
-                if let Some(ordered) = &mut server.ordered {
+                if let Some(ordered) = &mut server.order {
                     ordered.poll_at = now;
                 }
             }
             OrderEnd::Fenced | OrderEnd::Refused => {
-                server.ordered = None;
+                server.order = None;
                 server.refused(now);
             }
         }
-        let detail =
-            Detail::of("server", server.entry.life.id.as_str()).and("end", format!("{end:?}"));
+        let detail = Detail::of("server", server.entry.incarnation.id.as_str())
+            .and("end", format!("{end:?}"));
         self.event(Event::OrderRefused, detail);
     }
 
@@ -280,16 +280,21 @@
         let Some(state) = state else { return };
         let Some(server) = self.servers.get(key) else { return };
         // An engine that does not say when it started is taken to be the one that is known.
-        let born = if state.born == 0 { server.entry.life.born } else { state.born };
-        let life = Life::new(server.entry.life.id.as_str(), born);
-        match self.lives.find(&life) {
+        let born = if state.born == 0 { server.entry.incarnation.started_ms } else { state.born };
+        let life = Incarnation::new(server.entry.incarnation.id.as_str(), born);
+        match self.incarnations.find(&life) {
             Known::Same(_) | Known::New => {}
             // Its registration has yet to say so.
             Known::Next(_) => {
                 let State { sequence, weights, .. } = state;
                 // Its former life may have been leaving.
-                let entry =
-                    Entry { life, sequence, weights, leaving: false, ..server.entry.clone() };
+                let entry = Entry {
+                    incarnation: life,
+                    sequence,
+                    weights,
+                    draining: false,
+                    ..server.entry.clone()
+                };
                 return self.register(now, entry);
             }
             // The answer is older than what is known.
@@ -299,12 +304,12 @@
             self.saw_weights(now, key, model, *version);
         }
         let Some(server) = self.servers.get_mut(key) else { return };
-        let Some(ordered) = &server.ordered else { return };
+        let Some(ordered) = &server.order else { return };
         // A report lags, so an order that was just accepted need not show in it yet.
-        let settled = !ordered.accepted || now >= ordered.at + FIRST_POLL * 2;
+        let settled = !ordered.accepted || now >= ordered.sent_at + FIRST_POLL * 2;
         if !state.busy && settled {
             server.entry.sequence = state.sequence;
-            server.ordered = None;
+            server.order = None;
         }
     }
 
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -211,7 +211,7 @@
                 let effects = self.node.apply(now, Message::Tick);
                 self.carry(effects);
                 self.publish_readings(now);
-                next_tick = now + if self.node.is_pressed() { TICK } else { QUIET_TICK };
+                next_tick = now + if self.node.needs_fast_ticks() { TICK } else { QUIET_TICK };
             }
             self.publish();
             let wait = async {
@@ -228,7 +228,7 @@
             if let Some(last) = letter {
                 self.take(last);
             }
-            if self.node.is_pressed() {
+            if self.node.needs_fast_ticks() {
                 next_tick = next_tick.min(self.control.clock.now() + TICK);
             }
         }
@@ -304,10 +304,10 @@
         let view = &self.control.view;
         view.ready.store(self.node.is_ready(), Ordering::Release);
         view.draining.store(self.node.is_draining(), Ordering::Release);
-        view.open.store(self.node.open(), Ordering::Release);
-        view.next_lease.store(self.node.next_lease(), Ordering::Release);
+        view.open.store(self.node.open_requests(), Ordering::Release);
+        view.next_lease.store(self.node.next_lease_offset(), Ordering::Release);
         for topic in Topic::ALL {
-            view.ends[topic as usize].store(self.node.end(topic), Ordering::Release);
+            view.ends[topic as usize].store(self.node.end_offset(topic), Ordering::Release);
         }
     }
 }
--- a/src/fleet/scheduling/message.rs
+++ b/src/fleet/scheduling/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::fleet::{Key, Life, Prompt, Report};
+use crate::fleet::{Incarnation, Key, Prompt, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
@@ -68,7 +68,7 @@
     /// Counts the scheduler's attempts from 1.
     pub attempt: u32,
     /// The server.
-    pub life: Life,
+    pub life: Incarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// Prompt tokens that it is expected to read.
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -121,7 +121,7 @@
         };
         let assignment = Assignment {
             attempt: dispatch.attempt,
-            life: server.entry.life.clone(),
+            life: server.entry.incarnation.clone(),
             address: dispatch.address,
             tokens: choice.tokens,
             salt: dispatch.salt,
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -59,7 +59,7 @@
             request.submissions += 1;
         }
         self.counts.submitted += 1;
-        self.asked.insert(key);
+        self.awaiting_scheduler.insert(key);
         self.effects.push(Effect::Send(vec![address], Frame::Submission(Box::new(submission))));
         true
     }
@@ -77,7 +77,7 @@
             }
             return;
         };
-        self.asked.remove(&key);
+        self.awaiting_scheduler.remove(&key);
         match ruling {
             Ruling::Queued => {
                 if matches!(request.phase, Phase::Submitted(Stage::Asked(_))) {
@@ -102,7 +102,7 @@
 
     /// Sends a request where its scheduler wants it, unless this daemon knows better.
     fn assigned(&mut self, now: Time, key: Key, assignment: Assignment) {
-        let Some(server) = self.lives.server(&assignment.life) else {
+        let Some(server) = self.incarnations.server(&assignment.life) else {
             return self.leave_scheduler(now, key);
         };
         if !self.may_be_sent(now, key, server, assignment.weights) {
@@ -141,7 +141,7 @@
     /// yet that the server leaves, that weights were named, or that the request may have run.
     fn may_be_sent(&self, now: Time, key: Key, server: server::Key, weights: Option<u64>) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
-        let stays = self.servers.get(server).is_some_and(|server| !server.entry.leaving);
+        let stays = self.servers.get(server).is_some_and(|server| !server.entry.draining);
         let begins = match (&request.arrival.prompt, weights) {
             (Some(prompt), Some(version)) => self.may_begin(now, &prompt.model, version),
             _ => true,
@@ -217,7 +217,7 @@
             request.runs -= 1;
             request.owes |= arrived;
             request.phase = Phase::Submitted(Stage::Asked(now));
-            self.asked.insert(key);
+            self.awaiting_scheduler.insert(key);
         }
     }
 
@@ -227,7 +227,7 @@
         if request.may_repeat() {
             request.owes = true;
             request.phase = Phase::Submitted(Stage::Asked(now));
-            self.asked.insert(key);
+            self.awaiting_scheduler.insert(key);
             return;
         }
         self.effects.push(Effect::Command(key, Command::GiveUp));
@@ -236,7 +236,7 @@
 
     /// Decides by itself on requests whose scheduler has left them without a word or is gone.
     pub(in crate::fleet) fn look_at_schedulers(&mut self, now: Time) {
-        let unanswered = self.asked.iter().filter_map(|key| {
+        let unanswered = self.awaiting_scheduler.iter().filter_map(|key| {
             let request = self.requests.get(key)?;
             let Phase::Submitted(Stage::Asked(at)) = request.phase else { return None };
             (now >= at + ANSWERED).then(|| request.scheduler.clone())
@@ -274,7 +274,7 @@
 
     /// Goes on with a request without its scheduler: another one places it, or this daemon.
     fn go_on_without(&mut self, now: Time, key: Key) {
-        self.asked.remove(&key);
+        self.awaiting_scheduler.remove(&key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Phase::Submitted(stage) = request.phase else { return };
         request.scheduler.clear();
@@ -298,7 +298,7 @@
 
     /// Tells the scheduler of a request that ends here.
     pub(in crate::fleet) fn withdraw(&mut self, key: Key) {
-        self.asked.remove(&key);
+        self.awaiting_scheduler.remove(&key);
         let Some(request) = self.requests.get(&key) else { return };
         if matches!(request.phase, Phase::Submitted(_)) {
             let scheduler = request.scheduler.clone();
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{Assignment, Ruling, Step};
-use crate::fleet::{Key, Life, Loss, Malformed, Part, Prompt, Refused, Report};
+use crate::fleet::{Incarnation, Key, Loss, Malformed, Part, Prompt, Refused, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::quota::{Quota, Unit};
@@ -309,7 +309,7 @@
         Self {
             attempt: assignment.attempt,
             server: assignment.life.id,
-            born: assignment.life.born,
+            born: assignment.life.started_ms,
             address: assignment.address.to_string(),
             tokens: assignment.tokens,
             salt: assignment.salt,
@@ -326,7 +326,7 @@
     fn try_from(wire: WireAssignment) -> Result<Self, Malformed> {
         Ok(Self {
             attempt: wire.attempt,
-            life: Life::new(wire.server, wire.born),
+            life: Incarnation::new(wire.server, wire.born),
             address: address(&wire.address)?,
             tokens: wire.tokens,
             salt: wire.salt,
--- a/src/fleet/tests/beliefs/carriage.rs
+++ b/src/fleet/tests/beliefs/carriage.rs
@@ -127,7 +127,7 @@
         }
         if now >= this.next_tick {
             self.apply(vm, Message::Tick);
-            let pressed = self.node(vm).is_some_and(Node::is_pressed);
+            let pressed = self.node(vm).is_some_and(Node::needs_fast_ticks);
             self.vms[vm].next_tick = now + if pressed { STEP } else { QUIET_TICK };
         }
         for watch in 0..self.vms[vm].watches.len() {
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -98,7 +98,7 @@
         let Some(node) = self.node(vm) else { return };
         let mut wrong = Vec::new();
         for (id, (at, record)) in self.store.newest(Topic::Servers) {
-            let known = node.lives.registered(id).and_then(|key| node.servers.get(key));
+            let known = node.incarnations.registered(id).and_then(|key| node.servers.get(key));
             let value = record.value.as_deref().map(String::from_utf8_lossy);
             match (value, known) {
                 (None, Some(_)) if self.now > at + RETURN + NEWS => {
@@ -109,8 +109,8 @@
                 }
                 (Some(value), Some(known)) if self.now > at + NEWS => {
                     let leaving = value.contains("draining");
-                    if leaving != known.entry.leaving {
-                        wrong.push(format!("{id}: leaving {}", known.entry.leaving));
+                    if leaving != known.entry.draining {
+                        wrong.push(format!("{id}: leaving {}", known.entry.draining));
                     }
                 }
                 _ => {}
@@ -165,7 +165,7 @@
         for vm in steady {
             let Some(node) = self.node(vm) else { continue };
             let known = node.daemons();
-            if node.known.contains(&Topic::Routers) && known < self.vms.len() {
+            if node.known_topics.contains(&Topic::Routers) && known < self.vms.len() {
                 self.wrong(
                     vm,
                     Belief::Budget,
--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -51,7 +51,7 @@
     let digest = Digest {
         daemon: "router-2".into(),
         address: address(2).to_string(),
-        busy: BTreeMap::from([(Life::new("e-1", 1_000), busy)]),
+        busy: BTreeMap::from([(Incarnation::new("e-1", 1_000), busy)]),
         ..Digest::default()
     };
     daemon.node.apply(ms(10), Message::Frame(Frame::Digest(Box::new(digest.clone()))));
@@ -121,7 +121,8 @@
 #[test]
 fn report_of_the_former_life_changes_nothing() {
     let mut daemon = Daemon::with(1, &[FORMER, NEXT]);
-    let key = daemon.node.lives.server(&Life::new("e-1", 2_000)).expect("it is known");
+    let key =
+        daemon.node.incarnations.server(&Incarnation::new("e-1", 2_000)).expect("it is known");
     let weights = BTreeMap::from([("m".to_owned(), 9)]);
     let state = State { weights, busy: false, sequence: 4, born: 1_000 };
     daemon.node.apply(ms(10), Message::Polled(key, Some(state)));
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -40,7 +40,7 @@
 }
 
 fn registered(daemon: &Daemon) -> Vec<&str> {
-    let ids = daemon.node.servers.values().map(|server| server.entry.life.id.as_str());
+    let ids = daemon.node.servers.values().map(|server| server.entry.incarnation.id.as_str());
     ids.collect::<BTreeSet<&str>>().into_iter().collect()
 }
 
@@ -153,7 +153,7 @@
     let mut peer = Daemon::new(2);
     let left = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
     read_whole(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
-    let from = cut_off.node.end(Topic::Servers);
+    let from = cut_off.node.end_offset(Topic::Servers);
     let routers = [("router-1", "router 1")];
     peer.put(ms(10), Topic::Routers, &routers);
     let ask = Frame::Ask("router-1".into(), Topic::Servers, from);
@@ -162,7 +162,7 @@
             cut_off.node.apply(ms(30), Message::Frame(frame));
         }
     }
-    let end = cut_off.node.end(Topic::Servers);
+    let end = cut_off.node.end_offset(Topic::Servers);
     assert!(end < 4 || registered(&cut_off) == ["s-1", "s-3"], "{:?}", registered(&cut_off));
 }
 
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -109,7 +109,7 @@
     let route = route("engines", Repeat::Resumable, 2);
     let (_, effects) = daemon.arrive(ms(9_000), &route, Some(prompt(1, 2)));
     assert!(commands(&effects).is_empty());
-    let weights = vec![(Life::new("e-1", 0), "m".into(), 2)];
+    let weights = vec![(Incarnation::new("e-1", 0), "m".into(), 2)];
     let digest = Digest {
         daemon: "router-3".into(),
         address: address(3).to_string(),
@@ -157,7 +157,7 @@
     let frame = Frame::Records(batch);
     assert_eq!(told(&daemon.node.apply(ms(1_020), Message::Frame(frame.clone()))), 3);
     assert_eq!(told(&daemon.node.apply(ms(1_030), Message::Frame(frame))), 0);
-    assert_eq!(daemon.node.end(Topic::Servers), 3);
+    assert_eq!(daemon.node.end_offset(Topic::Servers), 3);
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let record = Record { key: "s-9".into(), offset: 8, value: Some(b"plain 19 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 8, to: 9, records: vec![record] };
     daemon.node.apply(ms(1_010), Message::Frame(Frame::Records(batch)));
-    assert_eq!(daemon.node.end(Topic::Servers), 1);
+    assert_eq!(daemon.node.end_offset(Topic::Servers), 1);
     let digest = Digest {
         daemon: "router-002".into(),
         address: address(2).to_string(),
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -213,7 +213,7 @@
     for daemon in &mut daemons {
         let servers = daemon.node.servers.values();
         let restarted = servers.filter(|server| server.entry.address == address(holder));
-        let parts: Vec<usize> = restarted.map(|server| server.held.len()).collect();
+        let parts: Vec<usize> = restarted.map(|server| server.residency.len()).collect();
         assert_eq!(parts, [11], "what it held before, or missed since, counts");
     }
 }
@@ -340,6 +340,6 @@
     for place in asked {
         daemon.node.apply(ms(40), Message::Events(place, None));
     }
-    let left: Vec<Place> = daemon.node.readings.keys().copied().collect();
+    let left: Vec<Place> = daemon.node.event_reads.keys().copied().collect();
     assert_eq!(left, [Place::Store]);
 }
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -170,7 +170,7 @@
 fn named_while_the_store_answers_late() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
     let named_at = ms(4_100);
-    let end = daemon.node.end(Topic::Operator);
+    let end = daemon.node.end_offset(Topic::Operator);
     let read = |asked, to, records| {
         let batch = Batch { topic: Topic::Operator, from: end, to, records };
         Message::Read(Read { batch, whole: false, asked })
@@ -210,7 +210,7 @@
         }
     }
     let named_at = ms(4_100);
-    let end = peer.node.end(Topic::Operator);
+    let end = peer.node.end_offset(Topic::Operator);
     let batch = Batch { topic: Topic::Operator, from: end, to: end, records: Vec::new() };
     let read = Read { batch, whole: false, asked: ms(4_000) };
     peer.node.apply(ms(5_500), Message::Read(read));
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -127,7 +127,7 @@
                 if self.frozen.contains(&index) {
                     continue;
                 }
-                let next = self.daemons[index].node.next_lease();
+                let next = self.daemons[index].node.next_lease_offset();
                 let records: Vec<(u64, String)> = (0..)
                     .zip(self.log.iter().cloned())
                     .skip(usize::try_from(next).expect("it is small"))
@@ -269,7 +269,7 @@
     let mut given = BTreeSet::new();
     for now in (5_000..9_500).step_by(20) {
         let daemon = &mut site.daemons[0];
-        let next = daemon.node.next_lease();
+        let next = daemon.node.next_lease_offset();
         let log = (0..).zip(site.log.iter().cloned());
         let records = log.skip(usize::try_from(next).expect("it is small")).collect();
         let mut effects = daemon.node.apply(ms(now), Message::Lease(0, records));
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -48,7 +48,10 @@
     site.report(other, key, second.attempt, Report::Begun(None));
     site.report(other, key, second.attempt, Report::Ended);
     assert_eq!(site.running(scheduler), 0);
-    assert_eq!((site.daemons[scheduler].node.open(), site.daemons[other].node.open()), (0, 0));
+    assert_eq!(
+        (site.daemons[scheduler].node.open_requests(), site.daemons[other].node.open_requests()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -72,7 +75,7 @@
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
     site.apply(other, Message::Leave(key));
-    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open()), (0, 0));
+    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open_requests()), (0, 0));
 }
 
 #[test]
@@ -120,7 +123,7 @@
     let daemon = format!("router-{}", scheduler + 1);
     let assignment = Assignment {
         attempt: 2,
-        life: Life::new("s-2", 0),
+        life: Incarnation::new("s-2", 0),
         address: address(102),
         tokens: 0,
         salt: None,
@@ -151,7 +154,7 @@
     let again = site.sent(other, key);
     assert_eq!(again.attempt, sent.attempt + 1);
     site.report(other, key, again.attempt, Report::Ended);
-    assert_eq!((site.running(other), site.daemons[other].node.open()), (0, 0));
+    assert_eq!((site.running(other), site.daemons[other].node.open_requests()), (0, 0));
 }
 
 #[test]
@@ -185,7 +188,7 @@
     site.apply(other, Message::StopEnds);
     let commands = site.commands(other, waits);
     assert!(matches!(commands.as_slice(), [Command::Refuse(Code::Draining, _)]), "{commands:?}");
-    assert_eq!(site.daemons[scheduler].node.open(), 2, "it no longer waits there");
+    assert_eq!(site.daemons[scheduler].node.open_requests(), 2, "it no longer waits there");
 }
 
 #[test]
@@ -201,7 +204,7 @@
         ..Digest::default()
     };
     site.apply(scheduler, Message::Frame(Frame::Digest(Box::new(digest))));
-    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open()), (0, 0));
+    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open_requests()), (0, 0));
 }
 
 #[test]
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -214,7 +214,7 @@
     let digest = Digest {
         daemon: format!("router-{last:03}"),
         address: address(last).to_string(),
-        busy: busy.iter().map(|(id, busy)| (Life::new(*id, 0), *busy)).collect(),
+        busy: busy.iter().map(|(id, busy)| (Incarnation::new(*id, 0), *busy)).collect(),
         heat: heat.to_vec(),
         ..Digest::default()
     };
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -165,8 +165,8 @@
         }
         let from = match self.tracked {
             // What peers told needs no reading.
-            Tracked::Topic(topic) => self.next.map(|next| next.max(node.end(topic))),
-            Tracked::Lease => Some(node.next_lease()),
+            Tracked::Topic(topic) => self.next.map(|next| next.max(node.end_offset(topic))),
+            Tracked::Lease => Some(node.next_lease_offset()),
         };
         let limit = now + ANSWER + self.wait;
         let (arrives, waits_until) = (now + delay, now + delay + self.wait);
@@ -194,7 +194,7 @@
                 return None;
             }
             Answer::Lease(records) => {
-                let any = records.is_empty() && node.next_lease() == 0;
+                let any = records.is_empty() && node.next_lease_offset() == 0;
                 self.rests_until =
                     now + if any { STORE_PAUSE } else { node.pace(now, self.tracked) };
                 self.wait = node.wait(now, self.tracked);
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -53,7 +53,7 @@
         let Change::Server(mut entry) = decode(topic, &Record { value, ..record.clone() })? else {
             return Err("only servers are born".into());
         };
-        entry.life.born = number(born)?;
+        entry.incarnation.started_ms = number(born)?;
         return Ok(Change::Server(entry));
     }
     match words.as_slice() {
@@ -97,12 +97,12 @@
 
 fn plain(id: &str, last: &str, state: &str) -> Result<Entry, String> {
     Ok(Entry {
-        life: Life::new(id, 0),
+        incarnation: Incarnation::new(id, 0),
         pool: "plain".into(),
         address: address(number(last)? as u8),
         zone: "zone-1".into(),
         slots: 2,
-        leaving: state == "draining",
+        draining: state == "draining",
         weights: BTreeMap::new(),
         sequence: 0,
     })
