--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -147,10 +147,10 @@
 
     /// Sends waiting requests for which there is room, in turn.
     pub(super) fn send_waiting(&mut self, now: Time) {
-        if self.waiting.is_empty() || now < self.next_pump {
+        if self.waiting.is_empty() || now < self.next_queue_scan {
             return;
         }
-        self.next_pump = now + DISPATCH_INTERVAL;
+        self.next_queue_scan = now + DISPATCH_INTERVAL;
         let mut full: BTreeSet<String> = BTreeSet::new();
         for turn in self.next_batch() {
             let Some(request) = self.requests.get(&turn.key) else { continue };
@@ -174,10 +174,10 @@
     fn next_batch(&mut self) -> Vec<Position> {
         let mut turns: Vec<Position> = self.waiting.iter().take(DISPATCH_BATCH).copied().collect();
         let Some(last) = turns.last().copied() else { return turns };
-        let from = self.pumped.filter(|pumped| *pumped > last).unwrap_or(last);
+        let from = self.queue_cursor.filter(|pumped| *pumped > last).unwrap_or(last);
         let after = (Bound::Excluded(from), Bound::Unbounded);
         turns.extend(self.waiting.range(after).take(DISPATCH_BATCH));
-        self.pumped = turns.last().copied().filter(|_| turns.len() == 2 * DISPATCH_BATCH);
+        self.queue_cursor = turns.last().copied().filter(|_| turns.len() == 2 * DISPATCH_BATCH);
         turns
     }
 
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -52,7 +52,7 @@
 
     fn read_holder_events(&mut self, now: Time, location: Location) {
         let Some(address) = self.holder_address(location) else { return };
-        let poll = self.readings.entry(location).or_default();
+        let poll = self.event_reads.entry(location).or_default();
         if poll.started_at.is_some_and(|at| now < at + READ_TIMEOUT) || now < poll.due_at {
             return;
         }
@@ -60,7 +60,7 @@
         if !self.is_event_reader(now, location) {
             return;
         }
-        if let Some(poll) = self.readings.get_mut(&location) {
+        if let Some(poll) = self.event_reads.get_mut(&location) {
             poll.started_at = Some(now);
         }
         let since = self.residency(location).map_or(0, Residency::next_event);
@@ -79,7 +79,7 @@
             return;
         }
         let interval = self.read_interval();
-        let poll = self.readings.entry(location).or_default();
+        let poll = self.event_reads.entry(location).or_default();
         poll.started_at = None;
         let Some(read) = read else {
             poll.due_at = now + READ_RETRY_DELAY;
@@ -93,7 +93,7 @@
         let Some(held) = self.residency_mut(location) else { return };
         match held.apply_events(now, read) {
             Outcome::Gap => {
-                if let Some(poll) = self.readings.get_mut(&location) {
+                if let Some(poll) = self.event_reads.get_mut(&location) {
                     poll.due_at = now;
                 }
             }
@@ -107,7 +107,7 @@
     /// Takes over what a peer tells of events that it reads.
     pub(in crate::fleet) fn handle_residency_update(&mut self, now: Time, update: &Update) {
         let Some(location) = self.location_of(&update.holder) else { return };
-        let reads = self.readings.get(&location).is_some_and(|poll| poll.started_at.is_some());
+        let reads = self.event_reads.get(&location).is_some_and(|poll| poll.started_at.is_some());
         if reads {
             // Both read for a moment; what this daemon reads is newer than what it is told.
             return;
@@ -116,7 +116,7 @@
         if held.apply_update(now, update) != Outcome::Gap {
             return;
         }
-        let poll = self.readings.entry(location).or_default();
+        let poll = self.event_reads.entry(location).or_default();
         if now < poll.next_request_at {
             return;
         }
@@ -147,7 +147,7 @@
         changes: Vec<(u64, u32)>,
     ) {
         let Some(holder) = self.holder(location) else { return };
-        if let Some(poll) = self.readings.get_mut(&location) {
+        if let Some(poll) = self.event_reads.get_mut(&location) {
             poll.update_sent_at = now;
         }
         let Some(sequence) = self.residency_mut(location).map(Residency::next_seq) else { return };
@@ -171,14 +171,14 @@
     }
 
     fn read_interval(&self) -> Duration {
-        let holders = u32::try_from(self.readings.len()).unwrap_or(u32::MAX);
+        let holders = u32::try_from(self.event_reads.len()).unwrap_or(u32::MAX);
         READ_INTERVAL_PER_HOLDER.saturating_mul(holders).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL)
     }
 
     fn holder(&self, location: Location) -> Option<Holder> {
         match location {
             Location::Engine(key) => {
-                self.servers.get(key).map(|server| Holder::Engine(server.entry.life.clone()))
+                self.servers.get(key).map(|server| Holder::Engine(server.entry.incarnation.clone()))
             }
             Location::Store => self.holder_address(location).map(Holder::Store),
         }
@@ -186,7 +186,7 @@
 
     fn location_of(&self, holder: &Holder) -> Option<Location> {
         match holder {
-            Holder::Engine(life) => self.lives.server(life).map(Location::Engine),
+            Holder::Engine(life) => self.incarnations.server(life).map(Location::Engine),
             Holder::Store(address) => {
                 (self.holder_address(Location::Store) == Some(*address)).then_some(Location::Store)
             }
@@ -207,15 +207,15 @@
 
     pub(in crate::fleet) fn residency(&self, location: Location) -> Option<&Residency> {
         match location {
-            Location::Engine(key) => self.servers.get(key).map(|server| &server.held),
-            Location::Store => Some(&self.kept.held),
+            Location::Engine(key) => self.servers.get(key).map(|server| &server.residency),
+            Location::Store => Some(&self.kv_store.held),
         }
     }
 
     fn residency_mut(&mut self, location: Location) -> Option<&mut Residency> {
         match location {
-            Location::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.held),
-            Location::Store => Some(&mut self.kept.held),
+            Location::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.residency),
+            Location::Store => Some(&mut self.kv_store.held),
         }
     }
 }
