--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -120,7 +120,7 @@
             request.phase = Phase::Waiting(now);
             self.waiting.insert(Turn::of(key, request));
             self.drains.entry(request.pool.clone()).or_default().waits(now);
-            self.tell_that_it_waits(key);
+            self.send_queued(key);
             self.log_waits(now, key);
         }
     }
--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -3,7 +3,7 @@
 
 use super::place::Choice;
 use super::request::{Phase, Request};
-use super::{Dispatch, Key, Loss, Node, Refused, Topic, Tracked, server};
+use super::{Dependency, Dispatch, Key, Loss, Node, Refusal, Topic, server};
 use crate::prelude::*;
 
 impl Loss {
@@ -33,7 +33,7 @@
     /// has not told of servers.
     fn beliefs(&self, now: Time, detail: Detail) -> Detail {
         let table = self.table.as_ref().map_or(0, |table| table.version());
-        let unread = self.unread_since.get(&Tracked::Topic(Topic::Servers));
+        let unread = self.unread_since.get(&Dependency::Topic(Topic::Servers));
         detail
             .and("table", table)
             .and_some("servers_unread_ms", unread.map(|since| now.saturating_sub(*since)))
@@ -144,12 +144,12 @@
         self.event(Event::AttemptFailed, detail);
     }
 
-    pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refused) {
+    pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refusal) {
         let Some(request) = self.requests.get(&key) else { return };
         let (reason, weights) = match refused {
-            Refused::Busy => ("it has no room, or is leaving or loading", None),
-            Refused::Gone => ("another server has its address", None),
-            Refused::Weights(version) => ("its weights are of another version", version),
+            Refusal::Busy => ("it has no room, or is leaving or loading", None),
+            Refusal::Gone => ("another server has its address", None),
+            Refusal::Weights(version) => ("its weights are of another version", version),
         };
         let detail =
             self.about_attempt(request, server).and("reason", reason).and_some("weights", weights);
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -1,6 +1,6 @@
 //! What metrics show of a node: its beliefs and their ages, its servers, its queue and its budgets.
 
-use super::{Node, Tracked};
+use super::{Dependency, Node};
 use crate::prelude::*;
 use crate::quota::Role;
 use crate::telemetry::metrics::Figure;
@@ -136,7 +136,7 @@
 
     /// For how long the store has not told of each topic, and how old each peer's word is.
     fn show_ages(&self, now: Time, figures: &mut Vec<Figure>) {
-        for tracked in Tracked::ALL {
+        for tracked in Dependency::ALL {
             let unread = self.unread_since.get(&tracked);
             let unread = unread.map_or(0, |since| ms(now.saturating_sub(*since)));
             figures.push(Figure::of("unread_ms", "topic", tracked.name(), unread));
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -16,7 +16,7 @@
 
 /// Work that one daemon has at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Busy {
+pub struct Workload {
     /// Requests in flight.
     pub running: u32,
     /// Prompt tokens of those whose answers have not begun.
@@ -50,7 +50,7 @@
     /// The offsets before which it misses no record, in the order of [`Topic::ALL`].
     pub ends: Vec<u64>,
     /// Its work by server.
-    pub busy: BTreeMap<Life, Busy>,
+    pub busy: BTreeMap<Life, Workload>,
     /// Weights that servers were seen to have: server, model, version.
     pub weights: Vec<(Life, String, u64)>,
     /// The parts of prompts that most of its work is for, with milliseconds of work a second; none
@@ -280,8 +280,8 @@
     }
 }
 
-impl From<(Life, Busy)> for wire::Busy {
-    fn from((life, busy): (Life, Busy)) -> Self {
+impl From<(Life, Workload)> for wire::Busy {
+    fn from((life, busy): (Life, Workload)) -> Self {
         Self {
             server: life.id,
             born: life.born,
@@ -294,11 +294,11 @@
     }
 }
 
-impl From<wire::Busy> for (Life, Busy) {
+impl From<wire::Busy> for (Life, Workload) {
     fn from(busy: wire::Busy) -> Self {
         let wire::Busy { server, running, pending_tokens, ordered, heard_ms, unanswered_ms, born } =
             busy;
-        let busy = Busy { running, pending_tokens, ordered, heard_ms, unanswered_ms };
+        let busy = Workload { running, pending_tokens, ordered, heard_ms, unanswered_ms };
         (Life::new(server, born), busy)
     }
 }
@@ -358,7 +358,7 @@
         if !digest.cores.is_finite() {
             return Err(Malformed("the digest's VM has no number of cores".into()));
         }
-        let busy = digest.busy.into_iter().map(<(Life, Busy)>::from);
+        let busy = digest.busy.into_iter().map(<(Life, Workload)>::from);
         Ok(Self {
             daemon: digest.daemon,
             address: digest.address,
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use super::peer::{INTERVAL, Peer};
-use super::scheduling::Standing;
-use super::{Batch, Busy, Digest, Effect, Frame, Life, Node, Topic};
+use super::scheduling::Rank;
+use super::{Batch, Digest, Effect, Frame, Life, Node, Topic, Workload};
 use crate::prelude::*;
 
 /// Peers that a daemon tells of itself at least, the schedulers included: records and ages spread also
@@ -41,7 +41,7 @@
         if id == self.identity.id {
             return;
         }
-        let standing = (cores > 0.0).then(|| Standing::of(&id, cores));
+        let standing = (cores > 0.0).then(|| Rank::new(&id, cores));
         match self.peers.get_mut(&id).filter(|known| known.address == address) {
             Some(known) => known.standing = standing.or(known.standing),
             None => {
@@ -205,9 +205,9 @@
             Frame::Notice(notice) => self.notice_came(now, notice),
             Frame::Held(told) => self.told_came(now, &told),
             Frame::AskHeld(daemon, keeper) => self.asked_held(&daemon, keeper),
-            Frame::Submission(submission) => self.submission_came(now, *submission),
-            Frame::Progress(progress) => self.progress_came(now, progress),
-            Frame::Verdict(verdict) => self.verdict_came(now, *verdict),
+            Frame::Submission(submission) => self.handle_submission(now, *submission),
+            Frame::Progress(progress) => self.handle_progress(now, progress),
+            Frame::Verdict(verdict) => self.handle_verdict(now, *verdict),
             Frame::Poison(message) => self.poison_came(now, message),
             Frame::Ask(daemon, topic, from) => self.asked(&daemon, topic, from),
             Frame::Records(batch) => {
@@ -297,7 +297,7 @@
             peer.digest = Some(digest);
             self.hear_missed_nothing(now, told, delay);
             if restarted {
-                self.has_restarted(now, &daemon, incarnation);
+                self.drop_past_incarnations(now, &daemon, incarnation);
             }
         }
         self.others_are_stale = true;
@@ -320,7 +320,7 @@
     }
 
     /// Takes over what a peer has at one server now.
-    pub(super) fn peer_has(&mut self, daemon: &str, life: Life, busy: Busy) {
+    pub(super) fn peer_has(&mut self, daemon: &str, life: Life, busy: Workload) {
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -1,6 +1,6 @@
 //! The work of all daemons at a server.
 
-use super::{Busy, Node, Server, server};
+use super::{Node, Server, Workload, server};
 use crate::prelude::*;
 use crate::route::Kind;
 
@@ -23,7 +23,7 @@
     }
 
     /// Adds what a peer told at time `told`.
-    pub(super) fn add(&mut self, told: Time, busy: &Busy) {
+    pub(super) fn add(&mut self, told: Time, busy: &Workload) {
         let before = |ms: Option<u32>| {
             ms.map(|ms| told.saturating_sub(Duration::from_millis(u64::from(ms))))
         };
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -32,7 +32,7 @@
 
 /// Why a server did not run a request, by its own word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum Refusal {
     /// It has no room, or is leaving or loading.
     Busy,
     /// Another server has its address.
@@ -58,7 +58,7 @@
     /// The answer ended well.
     Ended,
     /// The server refused and did not run it.
-    Refused(Refused),
+    Refused(Refusal),
     /// No byte of the request left: it provably did not run.
     Unsent,
     /// It was sent, and no whole answer came.
@@ -183,14 +183,14 @@
 
 /// A dependency that is lost and regained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Tracked {
+pub enum Dependency {
     /// Reads of this topic.
     Topic(Topic),
     /// Reads of the lease.
     Lease,
 }
 
-impl Tracked {
+impl Dependency {
     /// All of them.
     pub const ALL: [Self; 4] = [
         Self::Topic(Topic::Operator),
@@ -199,7 +199,7 @@
         Self::Lease,
     ];
 
-    /// Its place in [`Tracked::ALL`].
+    /// Its place in [`Dependency::ALL`].
     pub const fn index(self) -> usize {
         match self {
             Self::Topic(topic) => topic as usize,
@@ -237,7 +237,7 @@
     /// A topic was read.
     Read(Read),
     /// What is tracked could not be read, and why.
-    Down(Tracked, String),
+    Down(Dependency, String),
     /// Records of the lease were read: the oldest offset that is left, and each with its own.
     Lease(u64, Vec<(u64, String)>),
     /// An order to an engine ended.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -41,11 +41,11 @@
 
 pub use catalog::{Batch, Catalog, Record, Topic};
 pub use figures::Counts;
-pub use frame::{Busy, Digest, Frame, Malformed};
+pub use frame::{Digest, Frame, Malformed, Workload};
 pub use life::Life;
 pub use message::{
-    Arrival, Change, Command, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read, Refused,
-    Report, State, Tracked,
+    Arrival, Change, Command, Dependency, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read,
+    Refusal, Report, State,
 };
 pub use naming::Naming;
 pub use node::{Identity, Node, Policy};
@@ -56,5 +56,5 @@
 #[cfg(test)]
 pub(crate) use run::Letter;
 pub use run::{Control, Fleet};
-pub use scheduling::{Assignment, Progress, Ruling, Step, Submission, Verdict};
+pub use scheduling::{Assignment, Decision, Progress, Step, Submission, Verdict};
 pub use server::{Entry, Server};
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -14,10 +14,10 @@
 use super::request::Request;
 use super::residency::{Kept, Link, Reading};
 use super::rollout::Rollout;
-use super::scheduling::{Ranking, Served};
+use super::scheduling::{Ranking, Submissions};
 use super::{
-    Budget, Catalog, Change, Command, Counts, Effect, Key, Message, Place, Record, Server, Topic,
-    Tracked, server,
+    Budget, Catalog, Change, Command, Counts, Dependency, Effect, Key, Message, Place, Record,
+    Server, Topic, server,
 };
 use crate::lease;
 use crate::placement::Heat;
@@ -86,7 +86,7 @@
     pub(super) peers: BTreeMap<String, Peer>,
     pub(super) ranking: Ranking,
     /// Other daemons' requests that this one schedules.
-    pub(super) served: Served,
+    pub(super) served: Submissions,
     /// Own requests on which a scheduler has yet to say something.
     pub(super) asked: BTreeSet<Key>,
     /// Peers' work by server.
@@ -118,7 +118,7 @@
     /// When the servers' topic could last not be read.
     pub(super) down_at: Option<Time>,
     /// Since when what the store does not give can't be read.
-    pub(super) unread_since: BTreeMap<Tracked, Time>,
+    pub(super) unread_since: BTreeMap<Dependency, Time>,
     /// When each topic was last read from the store.
     pub(super) read_at: BTreeMap<Topic, Time>,
     /// The earliest time for the next look at what waits, and the turn after which it goes on.
@@ -157,7 +157,7 @@
             budgets: BTreeMap::new(),
             peers: Peer::seeds(seeds, identity.address),
             ranking: Ranking::default(),
-            served: Served::default(),
+            served: Submissions::default(),
             asked: BTreeSet::new(),
             others: BTreeMap::new(),
             others_are_stale: false,
@@ -256,7 +256,7 @@
             self.draining = true;
             self.event(Event::StopRequested, Detail::none());
             self.send_digests(now);
-            self.return_waiting(now);
+            self.return_queued_requests(now);
         }
     }
 
@@ -265,7 +265,8 @@
     fn stop_ends(&mut self, now: Time) {
         // What waits goes first, or it would be sent to the places that the others leave.
         let waiting = self.waiting.iter().map(|turn| turn.key);
-        let at_schedulers = self.requests.iter().filter(|(_, request)| request.is_at_a_scheduler());
+        let at_schedulers =
+            self.requests.iter().filter(|(_, request)| request.is_awaiting_scheduler());
         let at_schedulers = at_schedulers.map(|(key, _)| *key);
         let undecided = self.keeping.undecided.iter().copied();
         let waiting: Vec<Key> = waiting.chain(at_schedulers).chain(undecided).collect();
@@ -283,17 +284,17 @@
     }
 
     fn tick(&mut self, now: Time) {
-        self.look_at_ranking(now);
+        self.update_ranking(now);
         self.look_at_quotas(now);
         self.gossip(now);
         self.look_at_namings(now);
         self.read_events(now);
         self.sum_others(now);
-        self.look_at_unanswered(now);
+        self.check_unanswered(now);
         self.look_at_poison(now);
         self.drop_lapsed(now);
-        self.look_at_schedulers(now);
-        self.look_at_served(now);
+        self.check_schedulers(now);
+        self.drop_expired_submissions(now);
         self.roll_out(now);
         self.pump(now);
         self.expire(now);
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -5,7 +5,7 @@
 //! two digests. Without a word of it, small requests that other daemons send to that engine wait behind
 //! the prompt, and begin late.
 
-use super::{Busy, Effect, Frame, Life, Node, server};
+use super::{Effect, Frame, Life, Node, Workload, server};
 use crate::prelude::*;
 
 pub(super) use crate::allowance::Allowance;
@@ -24,7 +24,7 @@
     /// The server.
     pub life: Life,
     /// The daemon's work at it.
-    pub busy: Busy,
+    pub busy: Workload,
     /// Parts, by what they are kept under, that the server begins to read or fetch.
     pub parts: Vec<u64>,
 }
@@ -67,10 +67,10 @@
 
 impl super::Server {
     /// What this daemon has at it.
-    pub(super) fn busy(&self, now: Time) -> Busy {
+    pub(super) fn busy(&self, now: Time) -> Workload {
         let age_ms =
             |at: Time| u32::try_from(now.saturating_sub(at).as_millis()).unwrap_or(u32::MAX);
-        Busy {
+        Workload {
             running: self.running,
             pending_tokens: self.pending_tokens,
             ordered: self.is_loading(now),
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Node, Topic, Tracked};
+use super::{Dependency, Node, Topic};
 use crate::prelude::*;
 
 /// Shortest time between two reads of the servers' topic, so that several changes come at once.
@@ -54,17 +54,17 @@
 impl Node {
     /// Whether this daemon is to read what is tracked: as one of those who read for all, or because no
     /// scheduler tells that it has lately.
-    pub fn reads(&self, now: Time, tracked: Tracked) -> bool {
+    pub fn reads(&self, now: Time, tracked: Dependency) -> bool {
         let topic = match tracked {
-            Tracked::Topic(topic) => topic,
+            Dependency::Topic(topic) => topic,
             // Those who may take it next read it; the others need it once those have fallen silent.
-            Tracked::Lease if self.is_lease_candidate() => return true,
-            Tracked::Lease => Topic::Operator,
+            Dependency::Lease if self.is_lease_candidate() => return true,
+            Dependency::Lease => Topic::Operator,
         };
         if self.has_just_started(now) {
             return false;
         }
-        if self.is_reader() && tracked != Tracked::Lease {
+        if self.is_store_reader() && tracked != Dependency::Lease {
             return true;
         }
         let told = self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now));
@@ -79,7 +79,7 @@
 
     /// Whether other daemons rely on what this one reads.
     fn is_relied_on(&self, now: Time) -> bool {
-        self.is_scheduler(now) && self.has_others_than_readers()
+        self.is_scheduler(now) && self.has_non_readers()
     }
 
     /// How old what was read of each topic is, in the order of [`Topic::ALL`].
@@ -94,41 +94,41 @@
     }
 
     /// Time that a read may wait for a record.
-    pub fn wait(&self, now: Time, tracked: Tracked) -> Duration {
+    pub fn wait(&self, now: Time, tracked: Dependency) -> Duration {
         match tracked {
-            Tracked::Topic(Topic::Operator | Topic::Servers) if self.is_relied_on(now) => {
+            Dependency::Topic(Topic::Operator | Topic::Servers) if self.is_relied_on(now) => {
                 WAIT_FOR_OTHERS
             }
             // Each daemon waits differently long: a record ends all waits at once, and with equal ones no daemon would
             // have asked later than another when the next record comes.
-            Tracked::Topic(Topic::Operator) => {
+            Dependency::Topic(Topic::Operator) => {
                 let part = xxh3_64(self.identity.id.as_bytes()) % OPERATOR_WAITS;
                 OPERATOR_WAIT - OPERATOR_WAIT / 2 * part as u32 / OPERATOR_WAITS as u32
             }
-            Tracked::Topic(_) => WAIT,
-            Tracked::Lease if self.rank_among_daemons() >= LEASE_CANDIDATES => WAIT,
-            Tracked::Lease if self.rollout.is_active() => LEASE_WAIT_ACTIVE,
-            Tracked::Lease => LEASE_WAIT_SOON,
+            Dependency::Topic(_) => WAIT,
+            Dependency::Lease if self.rank_among_daemons() >= LEASE_CANDIDATES => WAIT,
+            Dependency::Lease if self.rollout.is_active() => LEASE_WAIT_ACTIVE,
+            Dependency::Lease => LEASE_WAIT_SOON,
         }
     }
 
     /// Time from a read that failed to the next one.
     pub fn pause(&self) -> Duration {
-        if self.is_reader() { AGAIN } else { AGAIN_OTHERS }
+        if self.is_store_reader() { AGAIN } else { AGAIN_OTHERS }
     }
 
     /// Time from a read that brought something to the next read.
-    pub fn pace(&self, now: Time, tracked: Tracked) -> Duration {
+    pub fn pace(&self, now: Time, tracked: Dependency) -> Duration {
         match tracked {
-            Tracked::Topic(Topic::Operator) => Duration::ZERO,
-            Tracked::Topic(Topic::Routers) => ROUTERS,
-            Tracked::Topic(Topic::Servers) if self.is_relied_on(now) => SERVERS_LEAST,
-            Tracked::Topic(Topic::Servers) => {
+            Dependency::Topic(Topic::Operator) => Duration::ZERO,
+            Dependency::Topic(Topic::Routers) => ROUTERS,
+            Dependency::Topic(Topic::Servers) if self.is_relied_on(now) => SERVERS_LEAST,
+            Dependency::Topic(Topic::Servers) => {
                 let daemons = u32::try_from(self.fresh_peers(now) + 1).unwrap_or(u32::MAX);
                 SERVERS_TOGETHER.saturating_mul(daemons).clamp(SERVERS_LEAST, SERVERS_MOST)
             }
-            Tracked::Lease if self.rank_among_daemons() < LEASE_CANDIDATES => LEASE_SOON,
-            Tracked::Lease => LEASE_LATER,
+            Dependency::Lease if self.rank_among_daemons() < LEASE_CANDIDATES => LEASE_SOON,
+            Dependency::Lease => LEASE_LATER,
         }
     }
 }
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::scheduling::Standing;
+use super::scheduling::Rank;
 use super::{Digest, Topic};
 use crate::prelude::*;
 
@@ -25,7 +25,7 @@
     /// Where it listens.
     pub(super) address: SocketAddr,
     /// Its place among those that may schedule, once its VM's size is known.
-    pub(super) standing: Option<Standing>,
+    pub(super) standing: Option<Rank>,
     pub(super) digest: Option<Digest>,
     pub(super) heard: Option<Time>,
     /// Since when it ranks among the schedulers, heard of or not.
@@ -42,7 +42,7 @@
 
 impl Peer {
     /// A peer of which only this is known.
-    pub(super) fn new(address: SocketAddr, standing: Option<Standing>) -> Self {
+    pub(super) fn new(address: SocketAddr, standing: Option<Rank>) -> Self {
         Self {
             address,
             standing,
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -12,7 +12,7 @@
 impl Node {
     /// Notes for each server since when requests wait for its answer, and moves those away that may
     /// be repeated from servers that have fallen silent.
-    pub(super) fn look_at_unanswered(&mut self, now: Time) {
+    pub(super) fn check_unanswered(&mut self, now: Time) {
         self.take_over_late(now);
         for server in self.servers.values_mut() {
             server.unanswered_since = None;
@@ -40,7 +40,7 @@
             let silent =
                 self.servers.get(server).map(|state| self.load(server, state).silence(now));
             if silent.is_some_and(|silent| silent >= SILENT_AFTER) {
-                self.move_away(now, key);
+                self.move_request(now, key);
             }
         }
     }
@@ -54,13 +54,13 @@
         });
         let late: Vec<Key> = late.map(|(key, _)| *key).collect();
         for key in late {
-            self.leave_scheduler(now, key);
+            self.withdraw_from_scheduler(now, key);
         }
     }
 
     /// Takes a request back that must not begin on the weights that it was sent to.
     pub(super) fn recall(&mut self, now: Time, key: Key) {
-        self.move_away(now, key);
+        self.move_request(now, key);
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { at, .. } = request.phase else { return };
         if at == now {
@@ -73,7 +73,7 @@
     }
 
     /// Sends a request elsewhere whose server has fallen silent, where its route allows it.
-    pub(super) fn move_away(&mut self, now: Time, key: Key) {
+    pub(super) fn move_request(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, at, .. } = request.phase else { return };
         let pool = request.pool.clone();
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -3,7 +3,7 @@
 use super::life::Known;
 use super::request::{Phase, Request};
 use super::{
-    Batch, Change, Effect, Entry, Key, Node, Place, Read, Record, Server, Topic, Tracked, server,
+    Batch, Change, Dependency, Effect, Entry, Key, Node, Place, Read, Record, Server, Topic, server,
 };
 use crate::prelude::*;
 use crate::route::Table;
@@ -19,7 +19,7 @@
     pub(super) fn read(&mut self, now: Time, read: Read) {
         let Read { batch, whole, asked } = read;
         let topic = batch.topic;
-        self.came_up(now, Tracked::Topic(topic));
+        self.came_up(now, Dependency::Topic(topic));
         self.read_at.insert(topic, now);
         if whole {
             self.take_whole(now, batch);
@@ -62,8 +62,8 @@
         }
     }
 
-    pub(super) fn went_down(&mut self, now: Time, tracked: Tracked, reason: &str) {
-        if tracked == Tracked::Topic(Topic::Servers) {
+    pub(super) fn went_down(&mut self, now: Time, tracked: Dependency, reason: &str) {
+        if tracked == Dependency::Topic(Topic::Servers) {
             self.down_at = Some(now);
         }
         if self.unread_since.contains_key(&tracked) {
@@ -75,7 +75,7 @@
     }
 
     /// Notes that what is tracked was read.
-    pub(super) fn came_up(&mut self, now: Time, tracked: Tracked) {
+    pub(super) fn came_up(&mut self, now: Time, tracked: Dependency) {
         if let Some(since) = self.unread_since.remove(&tracked) {
             let detail =
                 Detail::of("topic", tracked.name()).and("down_ms", now.saturating_sub(since));
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -2,7 +2,7 @@
 
 use super::request::Phase;
 use super::scheduling::Stage;
-use super::{Key, Loss, Node, Refused, Report, server};
+use super::{Key, Loss, Node, Refusal, Report, server};
 use crate::prelude::*;
 
 impl Node {
@@ -103,15 +103,15 @@
         now: Time,
         key: server::Key,
         model: Option<&str>,
-        refused: Refused,
+        refused: Refusal,
     ) {
-        if let (Refused::Weights(Some(version)), Some(model)) = (refused, model) {
+        if let (Refusal::Weights(Some(version)), Some(model)) = (refused, model) {
             return self.saw_weights(now, key, model, version);
         }
         if let Some(server) = self.servers.get_mut(key) {
             match refused {
-                Refused::Gone => server.failed(now),
-                Refused::Busy | Refused::Weights(_) => server.refused(now),
+                Refusal::Gone => server.failed(now),
+                Refusal::Busy | Refusal::Weights(_) => server.refused(now),
             }
         }
     }
--- a/src/fleet/request.rs
+++ b/src/fleet/request.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether it waits for a scheduler's word or at a scheduler.
-    pub(super) fn is_at_a_scheduler(&self) -> bool {
+    pub(super) fn is_awaiting_scheduler(&self) -> bool {
         matches!(self.phase, Phase::Submitted(Stage::Asked(_) | Stage::Queued))
     }
 
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -5,7 +5,7 @@
 use super::loading::Loading;
 use super::naming::{Bound, Namings};
 use super::server::Ordered;
-use super::{Effect, Entry, Life, Node, OrderEnd, State, Tracked, server};
+use super::{Dependency, Effect, Entry, Life, Node, OrderEnd, State, server};
 use crate::prelude::*;
 
 /// Time after an order until its engine is first asked whether it is done: a load takes about half
@@ -146,7 +146,7 @@
         }
         let since = *self.rollout.wanting_since.get_or_insert(now);
         // Who does not read the lease would take one that is held.
-        let candidate = self.reads(now, Tracked::Lease)
+        let candidate = self.reads(now, Dependency::Lease)
             && now >= since + CANDIDATE_STEP * self.rank_among_daemons();
         if !self.draining
             && let Some(record) = self.lease.due(now, candidate)
@@ -310,7 +310,7 @@
 
     /// Takes over records of the lease.
     pub(super) fn lease_read(&mut self, now: Time, first: u64, records: &[(u64, String)]) {
-        self.came_up(now, Tracked::Lease);
+        self.came_up(now, Dependency::Lease);
         let before = self.lease.held().map(|held| held.fence);
         self.lease.skip_to(first);
         for (offset, text) in records {
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 
-use super::{Arrival, Command, Effect, Key, Message, Node, Topic, Tracked};
+use super::{Arrival, Command, Dependency, Effect, Key, Message, Node, Topic};
 use crate::clock::Clock;
 use crate::peer::Links;
 use crate::prelude::*;
@@ -47,8 +47,8 @@
     next_lease: AtomicU64,
     /// The offset before which no record is missing, by topic.
     ends: [AtomicU64; Topic::ALL.len()],
-    /// How what is tracked is read, in the order of [`Tracked::ALL`].
-    readings: [Reading; Tracked::ALL.len()],
+    /// How what is tracked is read, in the order of [`Dependency::ALL`].
+    readings: [Reading; Dependency::ALL.len()],
 }
 
 /// How one of what is tracked is to be read.
@@ -168,26 +168,26 @@
     }
 
     /// Time from a read that brought something to the next one.
-    pub fn pace(&self, tracked: Tracked) -> Duration {
+    pub fn pace(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.reading(tracked).pace.load(Ordering::Acquire))
     }
 
     /// Time that a read may wait for a record.
-    pub fn wait(&self, tracked: Tracked) -> Duration {
+    pub fn wait(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.reading(tracked).wait.load(Ordering::Acquire))
     }
 
     /// Time from a read that failed to the next one.
-    pub fn pause(&self, tracked: Tracked) -> Duration {
+    pub fn pause(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.reading(tracked).pause.load(Ordering::Acquire))
     }
 
     /// Whether this daemon is to read what is tracked.
-    pub fn reads(&self, tracked: Tracked) -> bool {
+    pub fn reads(&self, tracked: Dependency) -> bool {
         !self.reading(tracked).left_to_others.load(Ordering::Acquire)
     }
 
-    fn reading(&self, tracked: Tracked) -> &Reading {
+    fn reading(&self, tracked: Dependency) -> &Reading {
         &self.view.readings[tracked.index()]
     }
 }
@@ -291,7 +291,7 @@
 
     fn publish_readings(&self, now: Time) {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        for tracked in Tracked::ALL {
+        for tracked in Dependency::ALL {
             let reading = self.control.reading(tracked);
             reading.left_to_others.store(!self.node.reads(now, tracked), Ordering::Release);
             reading.pace.store(ms(self.node.pace(now, tracked)), Ordering::Release);
--- a/src/fleet/scheduling/message.rs
+++ b/src/fleet/scheduling/message.rs
@@ -85,7 +85,7 @@
 
 /// What a scheduler decided for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ruling {
+pub enum Decision {
     /// It waits for a server.
     Queued,
     /// It is to be sent.
@@ -106,5 +106,5 @@
     /// The request, as the daemon that has it counts.
     pub request: Key,
     /// What was decided.
-    pub ruling: Ruling,
+    pub ruling: Decision,
 }
--- a/src/fleet/scheduling/mod.rs
+++ b/src/fleet/scheduling/mod.rs
@@ -17,9 +17,9 @@
 mod submitting;
 mod wire;
 
-pub use message::{Assignment, Progress, Ruling, Step, Submission, Verdict};
-pub(super) use ranking::{Ranking, Standing};
-pub(super) use serving::{Origin, Served};
+pub use message::{Assignment, Decision, Progress, Step, Submission, Verdict};
+pub(super) use ranking::{Rank, Ranking};
+pub(super) use serving::{Origin, Submissions};
 pub(super) use submitting::Stage;
 pub(super) use wire::{
     Progress as WireProgress, Submission as WireSubmission, Verdict as WireVerdict,
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -32,13 +32,13 @@
 
 /// A daemon's place in the order in which daemons schedule: the larger VMs first, among them by a hash.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(in crate::fleet) struct Standing {
+pub(in crate::fleet) struct Rank {
     cores: f32,
     hash: u64,
 }
 
-impl Standing {
-    pub(in crate::fleet) fn of(id: &str, cores: f32) -> Self {
+impl Rank {
+    pub(in crate::fleet) fn new(id: &str, cores: f32) -> Self {
         Self { cores, hash: xxh3_64(id.as_bytes()) }
     }
 
@@ -61,14 +61,14 @@
 
 impl Node {
     /// Looks at who schedules, where that is due.
-    pub(in crate::fleet) fn look_at_ranking(&mut self, now: Time) {
+    pub(in crate::fleet) fn update_ranking(&mut self, now: Time) {
         if now < self.ranking.next_look {
             return;
         }
         self.ranking.next_look = now + LOOK;
         self.ranking.started.get_or_insert(now);
-        let own = Standing::of(&self.identity.id, self.identity.cores);
-        let mut ranked: Vec<(Standing, Option<&str>)> = self
+        let own = Rank::new(&self.identity.id, self.identity.cores);
+        let mut ranked: Vec<(Rank, Option<&str>)> = self
             .peers
             .iter()
             .filter_map(|(id, peer)| Some((peer.standing?, Some(id.as_str()))))
@@ -123,7 +123,7 @@
     }
 
     /// Whether this daemon is one of those that read the platform's store for the others.
-    pub(in crate::fleet) fn is_reader(&self) -> bool {
+    pub(in crate::fleet) fn is_store_reader(&self) -> bool {
         self.ranking.before < READERS
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Whether there are daemons that leave reading to others.
-    pub(in crate::fleet) fn has_others_than_readers(&self) -> bool {
+    pub(in crate::fleet) fn has_non_readers(&self) -> bool {
         self.peers.len() >= READERS
     }
 
@@ -149,14 +149,14 @@
     }
 
     /// A scheduler that was heard of lately, also one that is avoided: for what nobody else may let in.
-    pub(in crate::fleet) fn some_scheduler(&self, now: Time) -> Option<&str> {
+    pub(in crate::fleet) fn last_heard_scheduler(&self, now: Time) -> Option<&str> {
         let heard =
             self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now) && !peer.is_draining());
         heard.max_by_key(|(_, peer)| peer.heard).map(|(id, _)| id.as_str())
     }
 
     /// Submits nothing to a scheduler for a while that left a submission without a word.
-    pub(in crate::fleet) fn avoid(&mut self, now: Time, scheduler: &str) {
+    pub(in crate::fleet) fn avoid_scheduler(&mut self, now: Time, scheduler: &str) {
         if let Some(peer) = self.peers.get_mut(scheduler) {
             peer.avoid_until(now + AVOIDED);
         }
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Assignment, Progress, Ruling, Step, Submission, Verdict};
+use super::{Assignment, Decision, Progress, Step, Submission, Verdict};
 use crate::fleet::place::Choice;
 use crate::fleet::request::{Phase, Request};
 use crate::fleet::{Arrival, Command, Dispatch, Effect, Frame, Key, Node};
@@ -28,13 +28,13 @@
 
 /// The requests of other daemons.
 #[derive(Debug, Default)]
-pub(in crate::fleet) struct Served {
+pub(in crate::fleet) struct Submissions {
     keys: BTreeMap<String, BTreeMap<Key, Key>>,
     next: u64,
     next_look: Time,
 }
 
-impl Served {
+impl Submissions {
     fn key(&self, daemon: &str, request: Key) -> Option<Key> {
         self.keys.get(daemon)?.get(&request).copied()
     }
@@ -64,13 +64,13 @@
 
 impl Node {
     /// Takes over a request for which another daemon wants a server.
-    pub(in crate::fleet) fn submission_came(&mut self, now: Time, submission: Submission) {
+    pub(in crate::fleet) fn handle_submission(&mut self, now: Time, submission: Submission) {
         let Some(address) = self.peer_address(&submission.daemon) else { return };
         let Submission { daemon, incarnation, request, .. } = &submission;
         let (daemon, request, incarnation) = (daemon.clone(), *request, *incarnation);
         let origin = Origin { daemon, request, address, incarnation };
         if self.draining || !self.is_ready() {
-            return self.rule(&origin, Ruling::Return);
+            return self.rule(&origin, Decision::Return);
         }
         if let Some(known) = self.served.key(&origin.daemon, origin.request) {
             // The daemon has started again and counts from the beginning.
@@ -83,15 +83,15 @@
 
     /// Tells the daemon that has a request that it waits here, at first or once more: a scheduler that
     /// says nothing is taken to be gone.
-    pub(in crate::fleet) fn tell_that_it_waits(&mut self, key: Key) {
+    pub(in crate::fleet) fn send_queued(&mut self, key: Key) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         if let Some(origin) = origin {
-            self.rule(&origin, Ruling::Queued);
+            self.rule(&origin, Decision::Queued);
         }
     }
 
     /// Takes over what another daemon tells of a request that this one schedules.
-    pub(in crate::fleet) fn progress_came(&mut self, now: Time, progress: Progress) {
+    pub(in crate::fleet) fn handle_progress(&mut self, now: Time, progress: Progress) {
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
             Step::Left => self.forget(now, key),
@@ -106,8 +106,8 @@
             return self.effects.push(Effect::Command(key, command));
         };
         match command {
-            Command::Refuse(code, after) => self.rule(&origin, Ruling::Refuse(code, after)),
-            Command::GiveUp => self.rule(&origin, Ruling::GiveUp),
+            Command::Refuse(code, after) => self.rule(&origin, Decision::Refuse(code, after)),
+            Command::GiveUp => self.rule(&origin, Decision::GiveUp),
             // Those are assigned with what the daemon needs to go on by itself.
             Command::Dispatch(_) => {}
         }
@@ -129,29 +129,29 @@
             fetch_from: dispatch.fetch_from,
             save_to: dispatch.save_to,
         };
-        self.rule(&origin, Ruling::Send(assignment));
+        self.rule(&origin, Decision::Send(assignment));
     }
 
-    fn rule(&mut self, origin: &Origin, ruling: Ruling) {
+    fn rule(&mut self, origin: &Origin, ruling: Decision) {
         let daemon = self.identity.id.clone();
         let verdict = Verdict { daemon, request: origin.request, ruling };
         self.effects.push(Effect::Send(vec![origin.address], Frame::Verdict(Box::new(verdict))));
     }
 
     /// Gives back what waits here for other daemons: this one stops.
-    pub(in crate::fleet) fn return_waiting(&mut self, now: Time) {
+    pub(in crate::fleet) fn return_queued_requests(&mut self, now: Time) {
         let waits = |request: &Request| matches!(request.phase, Phase::Waiting(_));
         let waiting = self.requests.iter().filter(|(_, request)| waits(request));
         let waiting = waiting.filter_map(|(key, request)| Some((*key, request.origin.clone()?)));
         let waiting: Vec<(Key, Origin)> = waiting.collect();
         for (key, origin) in waiting {
-            self.rule(&origin, Ruling::Return);
+            self.rule(&origin, Decision::Return);
             self.forget(now, key);
         }
     }
 
     /// Forgets requests whose time is over, since their end may have been told in vain.
-    pub(in crate::fleet) fn look_at_served(&mut self, now: Time) {
+    pub(in crate::fleet) fn drop_expired_submissions(&mut self, now: Time) {
         if now < self.served.next_look {
             return;
         }
@@ -161,7 +161,12 @@
     }
 
     /// Forgets the requests of a daemon's former incarnations.
-    pub(in crate::fleet) fn has_restarted(&mut self, now: Time, daemon: &str, incarnation: u64) {
+    pub(in crate::fleet) fn drop_past_incarnations(
+        &mut self,
+        now: Time,
+        daemon: &str,
+        incarnation: u64,
+    ) {
         self.forget_served(now, |_, origin| {
             origin.daemon == daemon && origin.incarnation != incarnation
         });
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -1,9 +1,9 @@
 //! The requests of this daemon that another one schedules.
 
-use super::{Assignment, Progress, Ruling, Step, Submission, Verdict};
+use super::{Assignment, Decision, Progress, Step, Submission, Verdict};
 use crate::fleet::request::{Phase, Request};
 use crate::fleet::{
-    Arrival, Command, Dispatch, Effect, Frame, Identity, Key, Node, Refused, Report, server,
+    Arrival, Command, Dispatch, Effect, Frame, Identity, Key, Node, Refusal, Report, server,
 };
 use crate::prelude::*;
 
@@ -17,7 +17,7 @@
 
 /// An attempt that a scheduler assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::fleet) struct Placed {
+pub(in crate::fleet) struct Placement {
     /// The attempt, as the scheduler counts.
     attempt: u32,
     server: server::Key,
@@ -34,7 +34,7 @@
     /// It waits at the scheduler.
     Queued,
     /// It was sent to the server assigned.
-    Placed(Placed),
+    Placed(Placement),
 }
 
 impl Node {
@@ -46,7 +46,8 @@
         }
         let is_undecided = request.undecided_until.is_some();
         let known = self.scheduler_of(now, &request.pool);
-        let Some(scheduler) = known.or_else(|| self.some_scheduler(now).filter(|_| is_undecided))
+        let Some(scheduler) =
+            known.or_else(|| self.last_heard_scheduler(now).filter(|_| is_undecided))
         else {
             return false;
         };
@@ -65,37 +66,37 @@
     }
 
     /// Takes over what a scheduler decided.
-    pub(in crate::fleet) fn verdict_came(&mut self, now: Time, verdict: Verdict) {
+    pub(in crate::fleet) fn handle_verdict(&mut self, now: Time, verdict: Verdict) {
         let Verdict { daemon, request: key, ruling } = verdict;
         let waits_for_it = |request: &&mut Request| {
             matches!(request.phase, Phase::Submitted(_)) && request.scheduler == daemon
         };
         let Some(request) = self.requests.get_mut(&key).filter(waits_for_it) else {
             // It was placed without the scheduler, or its caller has gone; the place is free again.
-            if matches!(ruling, Ruling::Send(_) | Ruling::Queued) {
+            if matches!(ruling, Decision::Send(_) | Decision::Queued) {
                 self.tell_scheduler(&daemon, key, 0, Step::Left);
             }
             return;
         };
         self.asked.remove(&key);
         match ruling {
-            Ruling::Queued => {
+            Decision::Queued => {
                 if matches!(request.phase, Phase::Submitted(Stage::Asked(_))) {
                     request.phase = Phase::Submitted(Stage::Queued);
                 }
             }
-            Ruling::Send(assignment) => self.assigned(now, key, assignment),
-            Ruling::Refuse(code, after) if request.runs == 0 => {
+            Decision::Send(assignment) => self.assigned(now, key, assignment),
+            Decision::Refuse(code, after) if request.runs == 0 => {
                 self.effects.push(Effect::Command(key, Command::Refuse(code, after)));
                 self.requests.remove(&key);
             }
-            Ruling::Refuse(..) | Ruling::GiveUp => {
+            Decision::Refuse(..) | Decision::GiveUp => {
                 self.effects.push(Effect::Command(key, Command::GiveUp));
                 self.requests.remove(&key);
             }
-            Ruling::Return => {
-                self.avoid(now, &daemon);
-                self.go_on_without(now, key);
+            Decision::Return => {
+                self.avoid_scheduler(now, &daemon);
+                self.continue_without_scheduler(now, key);
             }
         }
     }
@@ -103,10 +104,10 @@
     /// Sends a request where its scheduler wants it, unless this daemon knows better.
     fn assigned(&mut self, now: Time, key: Key, assignment: Assignment) {
         let Some(server) = self.lives.server(&assignment.life) else {
-            return self.leave_scheduler(now, key);
+            return self.withdraw_from_scheduler(now, key);
         };
         if !self.may_be_sent(now, key, server, assignment.weights) {
-            return self.leave_scheduler(now, key);
+            return self.withdraw_from_scheduler(now, key);
         }
         let most_idle = self.most_idle(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
@@ -114,7 +115,7 @@
         request.runs += 1;
         request.tried.push(server);
         request.weights = assignment.weights;
-        request.phase = Phase::Submitted(Stage::Placed(Placed {
+        request.phase = Phase::Submitted(Stage::Placed(Placement {
             attempt: assignment.attempt,
             server,
             tokens: assignment.tokens,
@@ -154,11 +155,11 @@
         &mut self,
         now: Time,
         key: Key,
-        placed: Placed,
+        placed: Placement,
         report: Report,
     ) {
         let Some(request) = self.requests.get_mut(&key) else { return };
-        let Placed { attempt, server, .. } = placed;
+        let Placement { attempt, server, .. } = placed;
         let scheduler = request.scheduler.clone();
         let model = request.arrival.prompt.as_ref().map(|prompt| prompt.model.clone());
         self.tell_scheduler(&scheduler, key, attempt, Step::Report(report));
@@ -180,7 +181,7 @@
                 self.counts.declined += 1;
                 self.heard(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
-                self.did_not_run(now, key, refused != Refused::Gone);
+                self.did_not_run(now, key, refused != Refusal::Gone);
             }
             Report::Unsent => {
                 self.log_failed(key, server, "it could not be connected to");
@@ -200,13 +201,13 @@
         }
     }
 
-    fn placed_began(&mut self, now: Time, key: Key, placed: Placed) {
+    fn placed_began(&mut self, now: Time, key: Key, placed: Placement) {
         if placed.begun {
             return;
         }
         self.log_begun(now, key, placed.at);
         if let Some(request) = self.requests.get_mut(&key) {
-            let placed = Placed { begun: true, ..placed };
+            let placed = Placement { begun: true, ..placed };
             request.phase = Phase::Submitted(Stage::Placed(placed));
         }
     }
@@ -235,7 +236,7 @@
     }
 
     /// Decides by itself on requests whose scheduler has left them without a word or is gone.
-    pub(in crate::fleet) fn look_at_schedulers(&mut self, now: Time) {
+    pub(in crate::fleet) fn check_schedulers(&mut self, now: Time) {
         let unanswered = self.asked.iter().filter_map(|key| {
             let request = self.requests.get(key)?;
             let Phase::Submitted(Stage::Asked(at)) = request.phase else { return None };
@@ -243,7 +244,7 @@
         });
         let unanswered: BTreeSet<String> = unanswered.collect();
         for scheduler in &unanswered {
-            self.avoid(now, scheduler);
+            self.avoid_scheduler(now, scheduler);
             let detail = Detail::of("scheduler", scheduler.as_str());
             self.event(Event::SchedulerSilent, detail);
         }
@@ -259,26 +260,26 @@
         });
         let left: Vec<Key> = left.map(|(key, _)| *key).collect();
         for key in left {
-            self.leave_scheduler(now, key);
+            self.withdraw_from_scheduler(now, key);
         }
     }
 
     /// Tells a request's scheduler to care for it no more, and decides by itself.
-    pub(in crate::fleet) fn leave_scheduler(&mut self, now: Time, key: Key) {
+    pub(in crate::fleet) fn withdraw_from_scheduler(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let scheduler = request.scheduler.clone();
         self.tell_scheduler(&scheduler, key, 0, Step::Left);
         self.counts.unscheduled += 1;
-        self.go_on_without(now, key);
+        self.continue_without_scheduler(now, key);
     }
 
     /// Goes on with a request without its scheduler: another one places it, or this daemon.
-    fn go_on_without(&mut self, now: Time, key: Key) {
+    fn continue_without_scheduler(&mut self, now: Time, key: Key) {
         self.asked.remove(&key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Phase::Submitted(stage) = request.phase else { return };
         request.scheduler.clear();
-        let Stage::Placed(Placed { server, tokens, begun, at, .. }) = stage else {
+        let Stage::Placed(Placement { server, tokens, begun, at, .. }) = stage else {
             request.phase = Phase::Waiting(now);
             if !self.submit(now, key) && self.let_in(now, key) {
                 self.send_or_wait(now, key);
@@ -314,7 +315,7 @@
     }
 }
 
-impl Placed {
+impl Placement {
     /// Whether its answer has begun.
     pub(in crate::fleet) fn has_begun(self) -> bool {
         self.begun
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use super::{Assignment, Ruling, Step};
-use crate::fleet::{Key, Life, Loss, Malformed, Part, Prompt, Refused, Report};
+use super::{Assignment, Decision, Step};
+use crate::fleet::{Key, Life, Loss, Malformed, Part, Prompt, Refusal, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::quota::{Quota, Unit};
@@ -269,9 +269,9 @@
             Step::Left => (0, None),
             Step::Report(Report::Begun(weights)) => (1, weights),
             Step::Report(Report::Ended) => (2, None),
-            Step::Report(Report::Refused(Refused::Busy)) => (3, None),
-            Step::Report(Report::Refused(Refused::Gone)) => (4, None),
-            Step::Report(Report::Refused(Refused::Weights(weights))) => (5, weights),
+            Step::Report(Report::Refused(Refusal::Busy)) => (3, None),
+            Step::Report(Report::Refused(Refusal::Gone)) => (4, None),
+            Step::Report(Report::Refused(Refusal::Weights(weights))) => (5, weights),
             Step::Report(Report::Unsent) => (6, None),
             Step::Report(Report::Lost(_)) => (7, None),
             Step::Report(Report::Failed) => (8, None),
@@ -290,9 +290,9 @@
             0 => Step::Left,
             1 => Step::Report(Report::Begun(wire.weights)),
             2 => Step::Report(Report::Ended),
-            3 => Step::Report(Report::Refused(Refused::Busy)),
-            4 => Step::Report(Report::Refused(Refused::Gone)),
-            5 => Step::Report(Report::Refused(Refused::Weights(wire.weights))),
+            3 => Step::Report(Report::Refused(Refusal::Busy)),
+            4 => Step::Report(Report::Refused(Refusal::Gone)),
+            5 => Step::Report(Report::Refused(Refusal::Weights(wire.weights))),
             6 => Step::Report(Report::Unsent),
             7 if wire.unusable => Step::Report(Report::Lost(Loss::Answer)),
             7 => Step::Report(Report::Lost(Loss::Connection)),
@@ -341,16 +341,16 @@
     fn from(verdict: super::Verdict) -> Self {
         let wire = Self { daemon: verdict.daemon, request: verdict.request.0, ..Self::default() };
         match verdict.ruling {
-            Ruling::Queued => Self { ruling: 0, ..wire },
-            Ruling::Send(assignment) => {
+            Decision::Queued => Self { ruling: 0, ..wire },
+            Decision::Send(assignment) => {
                 Self { ruling: 1, assignment: Some(assignment.into()), ..wire }
             }
-            Ruling::Refuse(code, after) => {
+            Decision::Refuse(code, after) => {
                 let code = u32::from(code.row().number);
                 Self { ruling: 2, code, after_ms: ms(after), ..wire }
             }
-            Ruling::GiveUp => Self { ruling: 3, ..wire },
-            Ruling::Return => Self { ruling: 4, ..wire },
+            Decision::GiveUp => Self { ruling: 3, ..wire },
+            Decision::Return => Self { ruling: 4, ..wire },
         }
     }
 }
@@ -360,21 +360,21 @@
 
     fn try_from(wire: Verdict) -> Result<Self, Malformed> {
         let ruling = match wire.ruling {
-            0 => Ruling::Queued,
+            0 => Decision::Queued,
             1 => {
                 let assignment = wire.assignment;
                 let assignment =
                     assignment.ok_or_else(|| Malformed("nothing is assigned".into()))?;
-                Ruling::Send(assignment.try_into()?)
+                Decision::Send(assignment.try_into()?)
             }
             2 => {
                 let named = |code: &&Code| u32::from(code.row().number) == wire.code;
                 let code = Code::ALL.iter().find(named);
                 let code = code.ok_or_else(|| unknown("code", wire.code))?;
-                Ruling::Refuse(*code, span(wire.after_ms))
+                Decision::Refuse(*code, span(wire.after_ms))
             }
-            3 => Ruling::GiveUp,
-            4 => Ruling::Return,
+            3 => Decision::GiveUp,
+            4 => Decision::Return,
             other => return Err(unknown("ruling", other)),
         };
         Ok(Self { daemon: wire.daemon, request: Key(wire.request), ruling })
--- a/src/fleet/tests/admission.rs
+++ b/src/fleet/tests/admission.rs
@@ -163,7 +163,7 @@
 fn small_prompt_is_sent_where_a_large_one_would_wait() {
     // An engine has 300 ms of prompts to read; half of the target of 600 ms is less than that.
     let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1")]);
-    let busy = Busy { running: 3, pending_tokens: 16_000, ..Busy::default() };
+    let busy = Workload { running: 3, pending_tokens: 16_000, ..Workload::default() };
     let digest = Digest {
         daemon: "router-2".into(),
         address: address(2).to_string(),
--- a/src/fleet/tests/beliefs/carriage.rs
+++ b/src/fleet/tests/beliefs/carriage.rs
@@ -152,7 +152,7 @@
         this.incarnation += 1;
         let incarnation = this.incarnation * 1_000 + vm as u64;
         this.daemon = Some(Daemon::started(vm as u8 + 1, incarnation, &seeds));
-        this.watches = Tracked::ALL.into_iter().map(Watch::new).collect();
+        this.watches = Dependency::ALL.into_iter().map(Watch::new).collect();
         (this.started, this.next_tick, this.table) = (self.now, self.now, 0);
         (this.register_at, this.cut_at, this.slowed_at) = (Some(self.now), Time::ZERO, Time::ZERO);
     }
@@ -312,10 +312,10 @@
         match server.filter(|server| server.is_up) {
             None => reports.push((ms(10), Report::Unsent)),
             Some(server) if server.leaving || server.loads.is_some() => {
-                reports.push((ms(10), Report::Refused(Refused::Busy)));
+                reports.push((ms(10), Report::Refused(Refusal::Busy)));
             }
             Some(server) if dispatch.weights.is_some_and(|weights| weights != server.version) => {
-                let weights = Refused::Weights(Some(server.version));
+                let weights = Refusal::Weights(Some(server.version));
                 reports.push((ms(10), Report::Refused(weights)));
             }
             Some(_) => {
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -6,7 +6,7 @@
 use crate::quota::Use;
 
 fn digest() -> Digest {
-    let busy = Busy {
+    let busy = Workload {
         running: 3,
         pending_tokens: 700,
         ordered: true,
@@ -51,7 +51,7 @@
         Frame::Notice(Notice {
             daemon: "router-1".into(),
             life: Life::new("server-1", 4),
-            busy: Busy { running: 2, ..Busy::default() },
+            busy: Workload { running: 2, ..Workload::default() },
             parts: vec![7, u64::MAX],
         }),
         Frame::Held(Told {
--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -47,7 +47,7 @@
 #[test]
 fn peers_word_on_the_former_life_does_not_count_for_the_next() {
     let mut daemon = Daemon::with(1, &[FORMER]);
-    let busy = Busy { running: 48, pending_tokens: 900_000, ..Busy::default() };
+    let busy = Workload { running: 48, pending_tokens: 900_000, ..Workload::default() };
     let digest = Digest {
         daemon: "router-2".into(),
         address: address(2).to_string(),
--- a/src/fleet/tests/naming.rs
+++ b/src/fleet/tests/naming.rs
@@ -102,7 +102,9 @@
 fn named_one_after_the_other_while_the_store_refused_the_daemon() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
     daemon.tick(ms(1_000));
-    daemon.node.apply(ms(1_000), Message::Down(Tracked::Topic(Topic::Operator), "refused".into()));
+    daemon
+        .node
+        .apply(ms(1_000), Message::Down(Dependency::Topic(Topic::Operator), "refused".into()));
     let value = Some(b"weights 3".to_vec());
     let third = vec![Record { key: "version/m".into(), offset: 3, value }];
     daemon.node.apply(ms(6_000), records(Topic::Operator, 1, 4, third));
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -184,7 +184,7 @@
 
 #[test]
 fn daemons_share_the_reading_of_the_store() {
-    let servers = Tracked::Topic(Topic::Servers);
+    let servers = Dependency::Topic(Topic::Servers);
     let alone = hearing_of(0, ms(1_000)).node.pace(ms(1_010), servers);
     let few = hearing_of(6, ms(1_000)).node.pace(ms(1_010), servers);
     let many = hearing_of(60, ms(1_000)).node.pace(ms(1_010), servers);
@@ -192,7 +192,7 @@
     // Peers that fall silent no longer read for this daemon.
     assert_eq!(hearing_of(60, ms(1_000)).node.pace(ms(9_000), servers), alone);
     let mut operators = hearing_of(60, ms(1_000));
-    assert_eq!(operators.node.pace(ms(1_010), Tracked::Topic(Topic::Operator)), ms(0));
+    assert_eq!(operators.node.pace(ms(1_010), Dependency::Topic(Topic::Operator)), ms(0));
     operators.tick(ms(1_010));
 }
 
@@ -210,19 +210,19 @@
         last.node.apply(ms(1_000), Message::Frame(Frame::Digest(Box::new(digest))));
     }
     last.tick(ms(1_010));
-    assert!(last.node.pace(ms(1_010), Tracked::Lease) > ms(2_000));
+    assert!(last.node.pace(ms(1_010), Dependency::Lease) > ms(2_000));
     // All of them fall silent, one after the other.
     for now in (1_100..9_000).step_by(100) {
         last.tick(ms(now));
     }
-    assert!(last.node.pace(ms(9_000), Tracked::Lease) < ms(1_000));
+    assert!(last.node.pace(ms(9_000), Dependency::Lease) < ms(1_000));
 }
 
 #[test]
 fn lost_and_regained_dependencies_are_logged_once_each() {
     let mut daemon = Daemon::with(1, &[]);
     let mut seen = Vec::new();
-    for tracked in Tracked::ALL {
+    for tracked in Dependency::ALL {
         for at in [100, 400, 700] {
             let message = Message::Down(tracked, "it refused".into());
             seen.extend(daemon.node.apply(ms(at), message));
--- a/src/fleet/tests/requests.rs
+++ b/src/fleet/tests/requests.rs
@@ -30,7 +30,7 @@
     let mut daemon = Daemon::with(1, &TWO);
     let (request, effects) = daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 1), None);
     let first = dispatch(&effects);
-    let effects = daemon.report(ms(20), request, 1, Report::Refused(Refused::Busy));
+    let effects = daemon.report(ms(20), request, 1, Report::Refused(Refusal::Busy));
     let second = dispatch(&effects);
     assert_eq!(second.attempt, 2);
     assert_ne!(first.server, second.server);
@@ -97,7 +97,7 @@
         match commands(&effects).as_slice() {
             [Command::Dispatch(dispatch)] => {
                 attempts = dispatch.attempt;
-                effects = daemon.report(now, request, attempts, Report::Refused(Refused::Busy));
+                effects = daemon.report(now, request, attempts, Report::Refused(Refusal::Busy));
             }
             [Command::Refuse(_, after)] => {
                 assert!(*after > Duration::ZERO);
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -42,7 +42,7 @@
 #[test]
 fn named_after_an_outage_that_swallowed_all_reads() {
     let mut site = Site::new(3, &[("e-1", OLD)]);
-    let failed = || Message::Down(Tracked::Topic(Topic::Operator), "no answer".into());
+    let failed = || Message::Down(Dependency::Topic(Topic::Operator), "no answer".into());
     site.daemons[0].hear_store(site.now);
     site.pass(ms(400));
     for daemon in &mut site.daemons[1..] {
@@ -91,7 +91,7 @@
     }
     daemon.hear_store(ms(4_000));
     let named_at = ms(4_050);
-    let failed = Message::Down(Tracked::Topic(Topic::Operator), "reset".into());
+    let failed = Message::Down(Dependency::Topic(Topic::Operator), "reset".into());
     daemon.node.apply(ms(4_060), failed);
     for time in (4_060..5_950).step_by(50) {
         daemon.tick(ms(time));
@@ -205,7 +205,7 @@
             peer.node.apply(ms(time), Message::Frame(frame));
         }
         if time == 4_000 {
-            let failed = Message::Down(Tracked::Topic(Topic::Operator), "refused".into());
+            let failed = Message::Down(Dependency::Topic(Topic::Operator), "refused".into());
             daemon.node.apply(ms(time), failed);
         }
     }
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -76,7 +76,7 @@
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 3)));
     assert_eq!(dispatch(&effects).weights, Some(1));
-    let refused = Report::Refused(Refused::Weights(Some(2)));
+    let refused = Report::Refused(Refusal::Weights(Some(2)));
     let effects = daemon.report(ms(20), request, 1, refused);
     assert_eq!(dispatch(&effects).weights, Some(2));
 }
@@ -295,7 +295,7 @@
     site.run(ms(0), ms(1_000));
     site.name(ms(1_000), 2);
     site.run(ms(1_000), ms(1_200));
-    let wait = |daemon: &Daemon| daemon.node.wait(ms(1_200), Tracked::Lease);
+    let wait = |daemon: &Daemon| daemon.node.wait(ms(1_200), Dependency::Lease);
     let mut waits: Vec<Duration> = site.daemons.iter().map(wait).collect();
     // Whichever three rank first.
     waits.sort_unstable();
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -42,7 +42,7 @@
     let first = site.sent(other, key);
     assert_eq!((site.running(scheduler), site.running(other)), (1, 0));
     // The server refuses; the scheduler finds another.
-    site.report(other, key, first.attempt, Report::Refused(Refused::Busy));
+    site.report(other, key, first.attempt, Report::Refused(Refusal::Busy));
     let second = site.sent(other, key);
     assert_ne!(first.server, second.server);
     site.report(other, key, second.attempt, Report::Begun(None));
@@ -58,7 +58,7 @@
     let key = site.arrive(other, "plain", Repeat::Idempotent);
     let first = site.sent(other, key);
     // The only server refuses and is passed over for a moment: the request waits at the scheduler.
-    site.report(other, key, first.attempt, Report::Refused(Refused::Busy));
+    site.report(other, key, first.attempt, Report::Refused(Refusal::Busy));
     site.pass(ms(100));
     assert_eq!(site.unscheduled(other), 0, "the scheduler said that it waits");
     site.pass(ms(150));
@@ -128,7 +128,7 @@
         fetch_from: None,
         save_to: None,
     };
-    let verdict = Verdict { daemon, request: key, ruling: Ruling::Send(assignment) };
+    let verdict = Verdict { daemon, request: key, ruling: Decision::Send(assignment) };
     site.apply(other, Message::Frame(Frame::Verdict(Box::new(verdict.clone()))));
     assert!(site.commands(other, key).is_empty());
     site.report(other, key, sent.attempt, Report::Lost(Loss::Connection));
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -31,7 +31,7 @@
 #[test]
 fn registration_lapsed_in_an_outage_is_kept_until_it_could_have_returned() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
-    let down = Message::Down(Tracked::Topic(Topic::Servers), "down".into());
+    let down = Message::Down(Dependency::Topic(Topic::Servers), "down".into());
     daemon.node.apply(ms(1_000), down);
     daemon.put(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
     assert_eq!(ask(&mut daemon, ms(1_600)).len(), 1);
@@ -210,7 +210,7 @@
 }
 
 /// A peer tells of its work.
-fn told(daemon: &mut Daemon, now: Time, last: u8, busy: &[(&str, Busy)], heat: &[(u64, f32)]) {
+fn told(daemon: &mut Daemon, now: Time, last: u8, busy: &[(&str, Workload)], heat: &[(u64, f32)]) {
     let digest = Digest {
         daemon: format!("router-{last:03}"),
         address: address(last).to_string(),
@@ -225,7 +225,7 @@
 fn home_that_is_full_stays_the_home_and_others_fetch_from_it() {
     let mut daemon = with_sixteen(1);
     let home = send(&mut daemon, ms(10), None, 3);
-    let full = Busy { running: 48, ..Busy::default() };
+    let full = Workload { running: 48, ..Workload::default() };
     told(&mut daemon, ms(20), 2, &[(home.server.as_str(), full)], &[]);
     let spilled = send(&mut daemon, ms(30), None, 3);
     assert_ne!(spilled.server, home.server);
@@ -241,7 +241,7 @@
     for last in [1, 2, 3] {
         let mut daemon = with_sixteen(last);
         let home = send(&mut daemon, ms(10), None, 3).server;
-        let loading = Busy { ordered: true, ..Busy::default() };
+        let loading = Workload { ordered: true, ..Workload::default() };
         told(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
         let sent = send(&mut daemon, ms(30), None, 3).server;
         assert_ne!(sent, home);
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -106,7 +106,7 @@
 /// How one daemon follows one topic, or the lease.
 #[derive(Debug)]
 pub struct Watch {
-    tracked: Tracked,
+    tracked: Dependency,
     next: Option<u64>,
     wait: Duration,
     rests_until: Time,
@@ -114,8 +114,8 @@
 }
 
 impl Watch {
-    pub fn new(tracked: Tracked) -> Self {
-        let next = (tracked == Tracked::Lease).then_some(0);
+    pub fn new(tracked: Dependency) -> Self {
+        let next = (tracked == Dependency::Lease).then_some(0);
         Self { tracked, next, wait: Duration::ZERO, rests_until: Time::ZERO, ask: None }
     }
 
@@ -165,8 +165,8 @@
         }
         let from = match self.tracked {
             // What peers told needs no reading.
-            Tracked::Topic(topic) => self.next.map(|next| next.max(node.end(topic))),
-            Tracked::Lease => Some(node.next_lease()),
+            Dependency::Topic(topic) => self.next.map(|next| next.max(node.end(topic))),
+            Dependency::Lease => Some(node.next_lease()),
         };
         let limit = now + ANSWER + self.wait;
         let (arrives, waits_until) = (now + delay, now + delay + self.wait);
@@ -206,7 +206,7 @@
                 (records, false, to)
             }
         };
-        let Tracked::Topic(topic) = self.tracked else { return None };
+        let Dependency::Topic(topic) = self.tracked else { return None };
         self.rests_until += match (records.is_empty(), to) {
             (false, _) => node.pace(now, self.tracked),
             (true, 0) => STORE_PAUSE,
@@ -223,13 +223,13 @@
     fn look(
         &mut self,
         now: Time,
-        tracked: Tracked,
+        tracked: Dependency,
         store: &Store,
         delay: &mut impl FnMut() -> Duration,
     ) -> Option<Answer> {
         let topic = match (tracked, self.from) {
-            (Tracked::Topic(topic), _) => topic,
-            (Tracked::Lease, from) => {
+            (Dependency::Topic(topic), _) => topic,
+            (Dependency::Lease, from) => {
                 let from = usize::try_from(from.unwrap_or_default()).unwrap_or(usize::MAX);
                 let texts = store.lease.iter().cloned();
                 let records: Vec<_> = (0..).zip(texts).skip(from).collect();
--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Fields, Malformed, Request, Response};
-use crate::fleet::{Dispatch, Prompt, Refused};
+use crate::fleet::{Dispatch, Prompt, Refusal};
 use crate::route::Workspace;
 
 /// What a caller's request says beyond its method, path and body.
@@ -27,7 +27,7 @@
     /// It answers this request; its weights had this version.
     Answer(Option<u64>),
     /// The server did not run the request.
-    Refused(Refused),
+    Refused(Refusal),
     /// It answers another request, or is no answer of a backend server.
     Foreign,
 }
--- a/src/relay/passage.rs
+++ b/src/relay/passage.rs
@@ -11,7 +11,7 @@
 use super::answer::{push_chunk, stream_head, whole_answer};
 use super::exchange::{self, Answer, Failure};
 use super::{Ask, Cut, Entry, Events, Request, Response, Verdict, head};
-use crate::fleet::{Arrival, Command, Dispatch, Key, Loss, Message, Refused, Report};
+use crate::fleet::{Arrival, Command, Dispatch, Key, Loss, Message, Refusal, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::route::{Route, Workspace};
@@ -227,7 +227,7 @@
         }
     }
 
-    async fn refused(&self, dispatch: &Dispatch, mut answer: Answer, refused: Refused) -> Attempt {
+    async fn refused(&self, dispatch: &Dispatch, mut answer: Answer, refused: Refusal) -> Attempt {
         if answer.whole(MAX_ANSWER).await.is_ok() {
             answer.finish(&self.entry.pool, dispatch.most_idle);
         }
