--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -45,8 +45,11 @@
             pool: xxh3_64(pool.as_bytes()),
             servers: self.pools.get(pool).map_or(0, |keys| keys.len() as u32),
         };
-        let steps =
-            self.crash_watch.record_disconnect(now, suspect, Disconnect { fingerprint, run_time: ran });
+        let steps = self.crash_watch.record_disconnect(
+            now,
+            suspect,
+            Disconnect { fingerprint, run_time: ran },
+        );
         self.take_steps(now, steps);
     }
 
@@ -179,8 +182,10 @@
     /// Whether a request that has just been lost may be what ends servers, with what is not yet sure.
     pub(super) fn may_end_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
-        self.poison
-            .reaches_block_threshold(fingerprint, self.crash_watch.possible_crashes(now, fingerprint))
+        self.poison.reaches_block_threshold(
+            fingerprint,
+            self.crash_watch.possible_crashes(now, fingerprint),
+        )
     }
 
     fn fingerprint(&self, key: Key) -> Option<Fingerprint> {
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -3,7 +3,8 @@
 use super::incarnation::Known;
 use super::request::{Phase, Request};
 use super::{
-    Batch, Change, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic, Tracked, server,
+    Batch, Change, Dependency, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic,
+    server,
 };
 use crate::prelude::*;
 use crate::route::Table;
@@ -19,7 +20,7 @@
     pub(super) fn handle_read(&mut self, now: Time, read: Read) {
         let Read { batch, whole, asked } = read;
         let topic = batch.topic;
-        self.mark_readable(now, Tracked::Topic(topic));
+        self.mark_readable(now, Dependency::Topic(topic));
         self.read_at.insert(topic, now);
         if whole {
             self.apply_snapshot(now, batch);
@@ -62,8 +63,8 @@
         }
     }
 
-    pub(super) fn mark_unreadable(&mut self, now: Time, tracked: Tracked, reason: &str) {
-        if tracked == Tracked::Topic(Topic::Servers) {
+    pub(super) fn mark_unreadable(&mut self, now: Time, tracked: Dependency, reason: &str) {
+        if tracked == Dependency::Topic(Topic::Servers) {
             self.servers_down_at = Some(now);
         }
         if self.unread_since.contains_key(&tracked) {
@@ -75,7 +76,7 @@
     }
 
     /// Notes that what is tracked was read.
-    pub(super) fn mark_readable(&mut self, now: Time, tracked: Tracked) {
+    pub(super) fn mark_readable(&mut self, now: Time, tracked: Dependency) {
         if let Some(since) = self.unread_since.remove(&tracked) {
             let detail =
                 Detail::of("topic", tracked.name()).and("down_ms", now.saturating_sub(since));
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -78,7 +78,7 @@
             // The server is gone.
             return;
         }
-        let interval = self.read_interval();
+        let interval = self.event_read_interval();
         let poll = self.event_reads.entry(location).or_default();
         poll.started_at = None;
         let Some(read) = read else {
@@ -170,7 +170,7 @@
         !self.draining && pool.is_some_and(scheduled)
     }
 
-    fn read_interval(&self) -> Duration {
+    fn event_read_interval(&self) -> Duration {
         let holders = u32::try_from(self.event_reads.len()).unwrap_or(u32::MAX);
         READ_INTERVAL_PER_HOLDER.saturating_mul(holders).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL)
     }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -5,7 +5,7 @@
 use super::loading::Limiter;
 use super::naming::{Bound, Namings};
 use super::server::Order;
-use super::{Effect, Entry, Incarnation, Node, OrderEnd, State, Tracked, server};
+use super::{Dependency, Effect, Entry, Incarnation, Node, OrderEnd, State, server};
 use crate::prelude::*;
 
 /// Time after an order until its engine is first asked whether it is done: a load takes about half
@@ -146,7 +146,7 @@
         }
         let since = *self.rollout.outdated_since.get_or_insert(now);
         // Who does not read the lease would take one that is held.
-        let candidate = self.should_read(now, Tracked::Lease)
+        let candidate = self.should_read(now, Dependency::Lease)
             && now >= since + CANDIDATE_DELAY_STEP * self.rank_among_daemons();
         if !self.draining
             && let Some(record) = self.lease.due(now, candidate)
@@ -315,7 +315,7 @@
 
     /// Takes over records of the lease.
     pub(super) fn lease_read(&mut self, now: Time, first: u64, records: &[(u64, String)]) {
-        self.mark_readable(now, Tracked::Lease);
+        self.mark_readable(now, Dependency::Lease);
         let before = self.lease.held().map(|held| held.fence);
         self.lease.skip_to(first);
         for (offset, text) in records {
