--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -16,25 +16,25 @@
 /// prefill of a lower one.
 ///
 /// ```
-/// use cardamomvalve::admission::slots;
+/// use cardamomvalve::admission::max_slots;
 /// use cardamomvalve::manifest::Priority;
-/// assert_eq!(slots(Priority::Urgent, 8), 8);
-/// assert_eq!(slots(Priority::Background, 8), 4);
+/// assert_eq!(max_slots(Priority::Urgent, 8), 8);
+/// assert_eq!(max_slots(Priority::Background, 8), 4);
 /// ```
-pub fn slots(priority: Priority, max_in_flight: u32) -> u32 {
-    let kept = match priority {
+pub fn max_slots(priority: Priority, max_in_flight: u32) -> u32 {
+    let reserved = match priority {
         Priority::Urgent => 0,
         Priority::Normal => max_in_flight / 8,
         Priority::Background => max_in_flight / 2,
     };
-    (max_in_flight - kept).max(1)
+    (max_in_flight - reserved).max(1)
 }
 
 /// Milliseconds as whole seconds for a `Retry-After`, from 1 to 60.
 ///
 /// ```
-/// assert_eq!(cardamomvalve::admission::whole_seconds(1_200.0), 2);
+/// assert_eq!(cardamomvalve::admission::retry_after_seconds(1_200.0), 2);
 /// ```
-pub fn whole_seconds(ms: f64) -> u32 {
+pub fn retry_after_seconds(ms: f64) -> u32 {
     (ms / 1_000.0).ceil().clamp(1.0, 60.0) as u32
 }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -23,23 +23,23 @@
     /// When it must have been sent.
     pub deadline: Time,
     /// Whether it goes before all others of its class: it was served already, and failed.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// The queue has no room for the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full;
 
-type Place = (Priority, u64, u64);
+type Position = (Priority, u64, u64);
 
 /// Fixed-point scale of virtual time, so that small costs over large shares stay apart.
-const SCALE: u64 = 1_000;
+const VIRTUAL_TIME_SCALE: u64 = 1_000;
 
 /// The waiting requests of one pool.
 #[derive(Debug, Default)]
 pub struct Queue {
-    waiting: BTreeMap<Place, Entry>,
-    places: BTreeMap<attempt::Key, Place>,
+    waiting: BTreeMap<Position, Entry>,
+    positions: BTreeMap<attempt::Key, Position>,
     deadlines: BTreeSet<(Time, attempt::Key)>,
     virtual_time: BTreeMap<Priority, u64>,
     next_start: BTreeMap<(Priority, String), u64>,
@@ -58,7 +58,7 @@
     }
 
     /// Number of waiting requests that go before a new one of `priority`.
-    pub fn ahead(&self, priority: Priority) -> usize {
+    pub fn count_ahead(&self, priority: Priority) -> usize {
         self.waiting.range(..(priority, u64::MAX, u64::MAX)).count()
     }
 
@@ -67,31 +67,31 @@
     pub fn push(&mut self, entry: Entry, limit: usize) -> Result<Option<attempt::Key>, Full> {
         let mut displaced = None;
         if self.waiting.len() >= limit {
-            let (last, victim) = self.waiting.last_key_value().ok_or(Full)?;
+            let (last, displaced_entry) = self.waiting.last_key_value().ok_or(Full)?;
             if last.0 <= entry.priority {
                 return Err(Full);
             }
-            let victim = victim.request;
-            self.remove(victim);
-            displaced = Some(victim);
+            let displaced_request = displaced_entry.request;
+            self.remove(displaced_request);
+            displaced = Some(displaced_request);
         }
-        let start = self.start(&entry);
-        let place = (entry.priority, start, self.arrivals);
+        let start = self.assign_start(&entry);
+        let position = (entry.priority, start, self.arrivals);
         self.arrivals += 1;
-        self.places.insert(entry.request, place);
+        self.positions.insert(entry.request, position);
         self.deadlines.insert((entry.deadline, entry.request));
-        self.waiting.insert(place, entry);
+        self.waiting.insert(position, entry);
         Ok(displaced)
     }
 
-    fn start(&mut self, entry: &Entry) -> u64 {
-        if entry.again {
+    fn assign_start(&mut self, entry: &Entry) -> u64 {
+        if entry.is_retry {
             return 0;
         }
         let now = self.virtual_time.get(&entry.priority).copied().unwrap_or(0);
         let next = self.next_start.entry((entry.priority, entry.workspace.clone())).or_insert(0);
         let start = now.max(*next);
-        *next = start + u64::from(entry.cost) * SCALE / u64::from(entry.share.max(1));
+        *next = start + u64::from(entry.cost) * VIRTUAL_TIME_SCALE / u64::from(entry.share.max(1));
         start
     }
 
@@ -101,10 +101,10 @@
     }
 
     /// Takes a request out to be served; virtual time advances to its start.
-    pub fn take(&mut self, request: attempt::Key) -> Option<Entry> {
-        let place = *self.places.get(&request)?;
-        let time = self.virtual_time.entry(place.0).or_insert(0);
-        *time = (*time).max(place.1);
+    pub fn dequeue(&mut self, request: attempt::Key) -> Option<Entry> {
+        let position = *self.positions.get(&request)?;
+        let time = self.virtual_time.entry(position.0).or_insert(0);
+        *time = (*time).max(position.1);
         let entry = self.remove(request);
         if self.waiting.is_empty() {
             self.next_start.clear();
@@ -115,8 +115,8 @@
 
     /// Takes a request out that is not to be served.
     pub fn remove(&mut self, request: attempt::Key) -> Option<Entry> {
-        let place = self.places.remove(&request)?;
-        let entry = self.waiting.remove(&place)?;
+        let position = self.positions.remove(&request)?;
+        let entry = self.waiting.remove(&position)?;
         self.deadlines.remove(&(entry.deadline, request));
         Some(entry)
     }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -14,13 +14,13 @@
         share,
         cost: 100,
         deadline: Duration::from_secs(number),
-        again: false,
+        is_retry: false,
     }
 }
 
-fn serve_next(queue: &mut Queue) -> Option<Entry> {
+fn dequeue_next(queue: &mut Queue) -> Option<Entry> {
     let request = queue.iter().next()?.request;
-    queue.take(request)
+    queue.dequeue(request)
 }
 
 #[test]
@@ -32,7 +32,7 @@
         queue.push(entry(number as u64, priority, "w", 1), 10).expect("there is room");
     }
     let order: Vec<u64> =
-        std::iter::from_fn(|| serve_next(&mut queue)).map(|e| e.request.0).collect();
+        std::iter::from_fn(|| dequeue_next(&mut queue)).map(|e| e.request.0).collect();
     assert_eq!(order, [2, 1, 0]);
 }
 
@@ -47,45 +47,45 @@
 }
 
 #[test]
-fn take_shares_by_workspace() {
+fn dequeue_shares_by_workspace() {
     let mut queue = Queue::default();
     for number in 0..300 {
         let (workspace, share) = if number % 2 == 0 { ("big", 3) } else { ("small", 1) };
         queue.push(entry(number, Priority::Normal, workspace, share), 1_000).expect("room");
     }
     let served: Vec<String> =
-        (0..80).filter_map(|_| serve_next(&mut queue)).map(|e| e.workspace).collect();
+        (0..80).filter_map(|_| dequeue_next(&mut queue)).map(|e| e.workspace).collect();
     let big = served.iter().filter(|workspace| *workspace == "big").count();
     assert!((58..=62).contains(&big), "{big} of 80 went to a share of 3 in 4");
 }
 
 #[test]
-fn take_no_credit_for_idle_workspace() {
+fn dequeue_no_credit_for_idle_workspace() {
     let mut queue = Queue::default();
     for number in 0..100 {
         queue.push(entry(number, Priority::Normal, "busy", 1), 1_000).expect("room");
     }
     for _ in 0..50 {
-        serve_next(&mut queue);
+        dequeue_next(&mut queue);
     }
     for number in 100..150 {
         queue.push(entry(number, Priority::Normal, "late", 1), 1_000).expect("room");
     }
     let served: Vec<String> =
-        (0..20).filter_map(|_| serve_next(&mut queue)).map(|e| e.workspace).collect();
+        (0..20).filter_map(|_| dequeue_next(&mut queue)).map(|e| e.workspace).collect();
     let late = served.iter().filter(|workspace| *workspace == "late").count();
     assert!((9..=11).contains(&late), "{late} of 20");
 }
 
 #[test]
-fn take_again_before_new() {
+fn dequeue_retry_before_new() {
     let mut queue = Queue::default();
     for number in 0..5 {
         queue.push(entry(number, Priority::Normal, "w", 1), 10).expect("room");
     }
-    serve_next(&mut queue);
-    queue.push(Entry { again: true, ..entry(9, Priority::Normal, "w", 1) }, 10).expect("room");
-    assert_eq!(serve_next(&mut queue).map(|e| e.request), Some(Key(9)));
+    dequeue_next(&mut queue);
+    queue.push(Entry { is_retry: true, ..entry(9, Priority::Normal, "w", 1) }, 10).expect("room");
+    assert_eq!(dequeue_next(&mut queue).map(|e| e.request), Some(Key(9)));
 }
 
 #[test]
@@ -101,43 +101,43 @@
 #[test]
 fn budget_is_a_tenth() {
     let mut budget = Budget::default();
-    while budget.spend() {}
+    while budget.try_withdraw() {}
     for _ in 0..100 {
-        budget.earn();
+        budget.deposit();
     }
-    let spent = std::iter::from_fn(|| budget.spend().then_some(())).count();
+    let spent = std::iter::from_fn(|| budget.try_withdraw().then_some(())).count();
     assert!((9..=10).contains(&spent), "{spent}");
 }
 
 quickcheck! {
-    fn queue_keeps_its_books(steps: Vec<(u8, u8)>) -> bool {
+    fn queue_indexes_agree(steps: Vec<(u8, u8)>) -> bool {
         let mut queue = Queue::default();
-        let mut held: BTreeSet<Key> = BTreeSet::new();
-        for (number, (kind, which)) in steps.iter().enumerate() {
+        let mut expected: BTreeSet<Key> = BTreeSet::new();
+        for (number, (kind, choice)) in steps.iter().enumerate() {
             let key = Key(number as u64);
             match kind % 4 {
                 0 | 1 => {
-                    let priority = Priority::ALL[usize::from(which % 3)];
-                    let entry = entry(key.0, priority, &which.to_string(), 1);
+                    let priority = Priority::ALL[usize::from(choice % 3)];
+                    let entry = entry(key.0, priority, &choice.to_string(), 1);
                     if let Ok(displaced) = queue.push(entry, 8) {
-                        held.insert(key);
-                        displaced.map(|victim| held.remove(&victim));
+                        expected.insert(key);
+                        displaced.map(|displaced| expected.remove(&displaced));
                     }
                 }
                 2 => {
-                    if let Some(entry) = serve_next(&mut queue) {
-                        held.remove(&entry.request);
+                    if let Some(entry) = dequeue_next(&mut queue) {
+                        expected.remove(&entry.request);
                     }
                 }
                 _ => {
-                    let due = Duration::from_secs(u64::from(*which));
+                    let due = Duration::from_secs(u64::from(*choice));
                     for expired in queue.expire(due) {
-                        held.remove(&expired);
+                        expected.remove(&expired);
                     }
                 }
             }
             let listed: BTreeSet<Key> = queue.iter().map(|entry| entry.request).collect();
-            if listed != held || queue.len() != held.len() {
+            if listed != expected || queue.len() != expected.len() {
                 return false;
             }
         }
--- a/src/control/arrivals.rs
+++ b/src/control/arrivals.rs
@@ -8,7 +8,7 @@
 impl Node {
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival) {
         self.counts.arrived += 1;
-        self.budget.earn();
+        self.budget.deposit();
         let request = arrival.request;
         let claim = arrival.claim.clone();
         if self.force().is_none() {
@@ -39,7 +39,7 @@
             share: arrival.share,
             cost: arrival.tokens.saturating_add(arrival.max_tokens).max(1),
             deadline: arrival.deadline,
-            again: state.attempts > 0,
+            is_retry: state.attempts > 0,
         };
         if entry.deadline <= now {
             return self.release_and_refuse(now, request, Code::DeadlinePassed.into());
@@ -61,11 +61,11 @@
         let hold_ms = self.paces.entry(pool.clone()).or_default().hold_ms;
         let queue = self.queues.entry(pool.clone()).or_default();
         let slots = servers as f64 * f64::from(limits.max_in_flight);
-        let wait_ms = queue.ahead(entry.priority) as f64 * hold_ms / slots;
+        let wait_ms = queue.count_ahead(entry.priority) as f64 * hold_ms / slots;
         let left_ms = (entry.deadline - now).as_secs_f64() * 1_000.0;
         if wait_ms > left_ms {
             let mut refusal = Refusal::from(Code::DeadlineUnreachable);
-            refusal.retry_after = admission::whole_seconds(wait_ms - left_ms);
+            refusal.retry_after = admission::retry_after_seconds(wait_ms - left_ms);
             return self.release_and_refuse(now, request, refusal);
         }
         match queue.push(entry, limits.max_waiting as usize) {
@@ -110,5 +110,5 @@
 }
 
 fn queue_full(wait_ms: f64) -> Refusal {
-    Refusal { retry_after: admission::whole_seconds(wait_ms), ..Code::QueueFull.into() }
+    Refusal { retry_after: admission::retry_after_seconds(wait_ms), ..Code::QueueFull.into() }
 }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -111,7 +111,7 @@
         let limit = force
             .and_then(|force| force.manifest.pools.get(&arrival.pool))
             .map_or(1, |pool| pool.max_in_flight);
-        let free = busy.requests < admission::slots(arrival.priority, limit);
+        let free = busy.requests < admission::max_slots(arrival.priority, limit);
         let token_ms = 1_000.0 / f64::from(server.load.prefill_tokens_per_s);
         let queued = server.load.queued_tokens.max(u64::from(busy.pending_tokens));
         let hold_ms = self.paces.get(&arrival.pool).copied().unwrap_or_default().hold_ms;
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -35,7 +35,7 @@
             });
             let Some((request, choice)) = placed else { return };
             if let Some(queue) = self.queues.get_mut(pool) {
-                queue.take(request);
+                queue.dequeue(request);
             }
             self.dispatch(now, request, choice);
         }
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -63,7 +63,9 @@
         let may_retry = match outcome {
             Outcome::Unsent(_) => true,
             Outcome::Broken(_) if self.may_end_servers(now, request) => false,
-            Outcome::Broken(_) | Outcome::Declined(_) | Outcome::Mismatch(_) => self.budget.spend(),
+            Outcome::Broken(_) | Outcome::Declined(_) | Outcome::Mismatch(_) => {
+                self.budget.try_withdraw()
+            }
             _ => false,
         };
         let Some(state) = self.requests.get_mut(&request) else {
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -92,7 +92,7 @@
         figures.push(Figure::new("quota_keeper", u64::from(lent > 0.0)));
         figures.push(Figure::new("quota_lent_percent", (lent * 100.0).round() as u64));
         for workspace in self.quota.workspaces() {
-            let left = self.quota.left(workspace).unwrap_or_default().max(0.0);
+            let left = self.quota.available(workspace).unwrap_or_default().max(0.0);
             figures.push(Figure::of("quota_left", "workspace", workspace, left as u64));
         }
     }
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -8,7 +8,7 @@
 use super::{Batch, Keeper, Life, Naming, Notice, Record, Told, Topic};
 use crate::poison::{self, Blocked, Fingerprint};
 use crate::prelude::*;
-use crate::quota::Use;
+use crate::quota::Usage;
 
 /// A frame that is not well-formed.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     /// The daemon that it takes for the keeper of quotas, and so lends its share; empty where it knows of none.
     pub keeper: String,
     /// What it used of workspaces' quotas lately.
-    pub used: Vec<Use>,
+    pub used: Vec<Usage>,
 }
 
 /// What daemons send each other.
@@ -388,7 +388,7 @@
                 .used_by
                 .into_iter()
                 .zip(digest.used_units)
-                .map(|(workspace, units)| Use { workspace, units })
+                .map(|(workspace, units)| Usage { workspace, units })
                 .collect(),
         })
     }
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -194,7 +194,7 @@
             named: self.rollout.seen_named.told(now, self.policy.weights_limit),
             missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
             keeper: self.keeping.name().to_owned(),
-            used: self.quota.used(now),
+            used: self.quota.recent_usage(now),
         }
     }
 
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -57,7 +57,7 @@
     /// The times of the lease to order engines.
     pub lease: lease::Terms,
     /// How quotas are held against what ran.
-    pub quota: quota::Terms,
+    pub quota: quota::Policy,
 }
 
 /// Reads a record of the platform's store.
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -4,7 +4,7 @@
 use super::request::{Phase, Request};
 use super::{Digest, Key, Node};
 use crate::prelude::*;
-use crate::quota::{Ask, Over, Quota, Role};
+use crate::quota::{Demand, Quota, Rejection, Role};
 
 /// Time beyond two digests after which a daemon no longer lends its share: by then it may lend it to another.
 const LENT_FOR: Duration = Duration::from_millis(100);
@@ -117,7 +117,9 @@
         let is_keeper = self.keeping.keeper == *id || lenders * 2 > self.daemons();
         if !is_keeper {
             let keeper = self.peers.get(&self.keeping.keeper);
-            return Role::Deputy { is_told: keeper.is_some_and(|keeper| keeper.is_told_of(now)) };
+            return Role::Deputy {
+                hears_keeper: keeper.is_some_and(|keeper| keeper.is_told_of(now)),
+            };
         }
         let lent = (lenders + 1) as f64 / self.lending_daemons(now) as f64;
         let since = self.keeping.since.unwrap_or(now);
@@ -162,8 +164,14 @@
         let longest = Self::longest_absence(now, request);
         let in_time = Self::longest_wait(request).min(longest);
         let (is_back, fingerprint) = (request.returned, request.arrival.fingerprint);
-        let ask = Ask { workspace: &workspace, quota, units, is_back, in_time };
-        match self.quota.let_in(now, ask) {
+        let ask = Demand {
+            workspace: &workspace,
+            quota,
+            units,
+            has_reservation: is_back,
+            max_wait: in_time,
+        };
+        match self.quota.admit(now, ask) {
             Ok(()) => {
                 if let Some(request) = self.requests.get_mut(&key) {
                     request.counted = 1;
@@ -172,10 +180,10 @@
             }
             Err(_) if self.may_wait_undecided(now, key) => false,
             Err(over) => {
-                let after = self.spread(over.after.unwrap_or(longest / 2)).min(longest);
+                let after = self.spread(over.retry_after.unwrap_or(longest / 2)).min(longest);
                 self.log_over_quota(key, &workspace, quota, units, over);
                 self.refuse_until(now, key, Code::OverQuota, after);
-                if over.after.is_none() {
+                if over.retry_after.is_none() {
                     self.expected.forget(fingerprint);
                 }
                 false
@@ -189,7 +197,7 @@
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.runs >= request.counted {
             request.counted = request.runs + 1;
-            self.quota.count(now, &workspace, units);
+            self.quota.charge(now, &workspace, units);
         }
     }
 
@@ -200,7 +208,7 @@
         if spare > 0
             && let Some((workspace, _, units)) = self.units(key)
         {
-            self.quota.give_back(now, &workspace, units * spare);
+            self.quota.refund(now, &workspace, units * spare);
         }
     }
 
@@ -209,11 +217,18 @@
         if !digest.used.is_empty() && self.is_scheduler(now) {
             let table = self.table.clone();
             let quota = |workspace: &str| table.as_ref()?.quota(workspace);
-            self.quota.hear(now, &digest.daemon, digest.incarnation, &digest.used, quota);
+            self.quota.merge_usage(now, &digest.daemon, digest.incarnation, &digest.used, quota);
         }
     }
 
-    fn log_over_quota(&mut self, key: Key, workspace: &str, quota: Quota, units: u64, over: Over) {
+    fn log_over_quota(
+        &mut self,
+        key: Key,
+        workspace: &str,
+        quota: Quota,
+        units: u64,
+        over: Rejection,
+    ) {
         let Some(request) = self.requests.get(&key) else { return };
         let (role, lent) = match self.quota.role() {
             Role::Keeper { lent, .. } => ("keeper", lent),
@@ -223,8 +238,8 @@
         let detail = Detail::of("request", request.arrival.id.as_str())
             .and("workspace", workspace)
             .and("units", units)
-            .and("promised", over.after.is_some())
-            .and("left", over.left.round())
+            .and("promised", over.retry_after.is_some())
+            .and("left", over.available.round())
             .and("rate_here", over.rate.round())
             .and("rate", quota.rate)
             .and("burst", quota.burst)
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -221,7 +221,7 @@
     fn from(Quota { rate, burst, unit }: Quota) -> Self {
         let plain = match unit {
             Unit::Requests => None,
-            Unit::Tokens { plain } => Some(plain),
+            Unit::Tokens { default_tokens } => Some(default_tokens),
         };
         Self { rate, burst, plain }
     }
@@ -229,7 +229,7 @@
 
 impl From<WireQuota> for Quota {
     fn from(WireQuota { rate, burst, plain }: WireQuota) -> Self {
-        let unit = plain.map_or(Unit::Requests, |plain| Unit::Tokens { plain });
+        let unit = plain.map_or(Unit::Requests, |plain| Unit::Tokens { default_tokens: plain });
         Self { rate, burst, unit }
     }
 }
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -3,7 +3,7 @@
 use crate::fleet::*;
 use crate::poison::{self, Fingerprint};
 use crate::prelude::*;
-use crate::quota::Use;
+use crate::quota::Usage;
 
 fn digest() -> Digest {
     let busy = Busy {
@@ -34,7 +34,7 @@
         sent: Duration::from_millis(1 << 33),
         missed_nothing_for: Some(Duration::ZERO),
         keeper: "router-2".into(),
-        used: vec![Use { workspace: "lab".into(), units: 1 << 40 }],
+        used: vec![Usage { workspace: "lab".into(), units: 1 << 40 }],
         named: vec![Naming { model: "m".into(), version: 4, age: Some(Duration::from_millis(70)) }],
     }
 }
--- a/src/fleet/tests/quotas.rs
+++ b/src/fleet/tests/quotas.rs
@@ -21,7 +21,8 @@
 /// Engines of the pool.
 const ENGINES: u8 = 24;
 /// What the workspaces may have: some eleven such requests a second.
-const QUOTA: Quota = Quota { rate: 100_000, burst: 100_000, unit: Unit::Tokens { plain: 200 } };
+const QUOTA: Quota =
+    Quota { rate: 100_000, burst: 100_000, unit: Unit::Tokens { default_tokens: 200 } };
 /// Tokens that may run in a window: a tenth more than the quota, and 110,000.
 const MOST: u64 = (8 + 1) * 110_000 + 110_000;
 
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -29,7 +29,7 @@
         margin: Duration::from_millis(400),
         renewal: Duration::from_secs(1),
     },
-    quota: quota::Terms { window: Duration::from_secs(8), overage: 0.1, slack: 110_000.0 },
+    quota: quota::Policy { window: Duration::from_secs(8), overage: 0.1, slack: 110_000.0 },
 };
 
 /// Records in these tests say what they mean in a few words.
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -17,5 +17,5 @@
 #[cfg(test)]
 mod tests;
 
-pub use limit::{Quota, Terms, Unit};
-pub use state::{Ask, Over, Role, State, Use};
+pub use limit::{Policy, Quota, Unit};
+pub use state::{Demand, Rejection, Role, State, Usage};
