--- a/src/poison/detector.rs
+++ b/src/poison/detector.rs
@@ -1,37 +1,40 @@
-//! Servers whose connections broke: which of them have ended.
+//! Detects which servers with broken connections have crashed.
 //!
-//! A connection also breaks where a server fails a single request, drops it, or is cut off. Only the end of the
-//! server is held against the requests that ran there, so it is looked at: a process that has ended refuses
-//! connections, and one that lives on answers something that was sent to it later.
+//! A connection also breaks if a server fails or drops a single request, or if the network is
+//! partitioned. Only a crash counts against the requests that were running, so the server is
+//! probed: a process that has ended refuses connections, and a live one answers requests sent to it
+//! later.
 
 use std::net::SocketAddr;
 
 use super::{Fingerprint, Incarnation, Interruption};
 use crate::prelude::*;
 
-/// Time between the two looks that must find a server's port closed: one that only refuses what is more than it
-/// takes answers others meanwhile.
+/// Time between the two probes that must find a server's port closed. A live server that refuses
+/// connections under overload accepts others in the meantime.
 const PROBE_INTERVAL: Duration = Duration::from_millis(60);
-/// Time from a break in which a server that ends stops to listen: an open port is looked at again until then. An end
-/// would else count for nothing while the store, and so registrations, can't be read.
+/// Time from a broken connection until a crashing server closes its port; an open port is probed
+/// again until then. Otherwise a crash would not count while the store, and with it the
+/// registrations, can't be read.
 const PORT_CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time in which answers arrive that a server gave before its connections broke.
+/// Time in which responses still arrive that were sent before the connection broke.
 const LATE_RESPONSE_WINDOW: Duration = Duration::from_millis(50);
-/// Time for which a server is doubted: its registration ends within some heartbeats.
+/// Time in which a crash can be confirmed: a crashed server's registration ends within some
+/// heartbeats.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a look at a server's port found.
+/// Result of a probe of a server's port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// Nobody listens.
+    /// The connection was refused.
     Refused,
-    /// Somebody listens.
+    /// The connection was accepted.
     Accepted,
-    /// Nothing came back.
+    /// There was no response.
     Silent,
 }
 
-/// A look at a server's port that is to be taken.
+/// A probe of a server's port to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Probe {
     /// The server.
@@ -40,25 +43,25 @@
     pub address: SocketAddr,
 }
 
-/// What follows from news of a server.
+/// Actions that follow from an event.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Steps {
-    /// Looks to take.
+    /// Probes to send.
     pub probes: Vec<Probe>,
-    /// Requests that were running where a server has ended.
+    /// Requests that a crash interrupted.
     pub interruptions: Vec<Interruption>,
 }
 
-/// How far the doubt in a server goes.
+/// State of the check of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// A look is under way; whether the one before it found its port closed.
+    /// A probe is in progress; `found_closed` if the previous one found the port closed.
     Probing { found_closed: bool },
-    /// The next look is due at this time.
+    /// The next probe is due at this time.
     Due { at: Time, found_closed: bool },
-    /// Somebody listens there on and on, or nothing came back: its registration will tell.
+    /// The port stays open or doesn't respond; only the registration can confirm a crash.
     Unconfirmed,
-    /// It has ended.
+    /// The server has crashed.
     Crashed,
 }
 
@@ -67,11 +70,11 @@
 pub struct Disconnect {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// For how long it had been there.
+    /// How long it had been running there.
     pub run_time: Duration,
 }
 
-/// A server to which connections broke.
+/// A server whose connections broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Endpoint {
     /// The server.
@@ -80,7 +83,7 @@
     pub address: SocketAddr,
     /// Hash of its pool.
     pub pool: u64,
-    /// Servers of that pool.
+    /// Number of servers in that pool.
     pub servers: u32,
 }
 
@@ -105,14 +108,14 @@
     }
 }
 
-/// Servers that may have ended.
+/// Detects crashes of servers from broken connections, probes and registrations.
 #[derive(Debug, Default)]
 pub struct Detector {
     checks: BTreeMap<Incarnation, Check>,
 }
 
 impl Detector {
-    /// Takes over that the connection broke on which a request ran at a server.
+    /// Records that a request's connection to a server broke.
     pub fn record_disconnect(
         &mut self,
         now: Time,
@@ -138,7 +141,7 @@
         Steps { probes: vec![Probe { incarnation, address }], ..Steps::default() }
     }
 
-    /// Takes over what a look found.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, now: Time, incarnation: Incarnation, answer: Answer) -> Steps {
         let Some(check) = self.checks.get_mut(&incarnation) else { return Steps::default() };
         let Stage::Probing { found_closed } = check.stage else { return Steps::default() };
@@ -153,7 +156,7 @@
         Steps::default()
     }
 
-    /// Takes over that a server has ended, as its registration or its next start tells.
+    /// Records that a server has crashed, according to its registration or its next start.
     pub fn record_crash(&mut self, now: Time, incarnation: Incarnation) -> Steps {
         let Some(check) = self.checks.get_mut(&incarnation) else { return Steps::default() };
         if check.stage == Stage::Crashed || now >= check.broken_at + CONFIRMATION_TIMEOUT {
@@ -166,7 +169,8 @@
         Steps { interruptions: interruptions.collect(), ..Steps::default() }
     }
 
-    /// Takes over that a server answered: it lives on, unless the answer had been on its way.
+    /// Records a response of a server. The server is alive, unless the response was already in
+    /// flight.
     pub fn record_response(&mut self, now: Time, incarnation: Incarnation) {
         let is_alive = |check: &Check| {
             check.stage != Stage::Crashed && now > check.broken_at + LATE_RESPONSE_WINDOW
@@ -176,7 +180,8 @@
         }
     }
 
-    /// The looks that are due. An open port is looked at no more once a server that ends would have closed it.
+    /// Returns the due probes. An open port is no longer probed once a crashing server would have
+    /// closed it.
     pub fn due_probes(&mut self, now: Time) -> Vec<Probe> {
         self.checks.retain(|_, check| now < check.broken_at + CONFIRMATION_TIMEOUT);
         let mut probes = Vec::new();
@@ -192,17 +197,17 @@
         probes
     }
 
-    /// Whether no server was in doubt lately.
+    /// Whether no server is being checked.
     pub fn is_idle(&self) -> bool {
         self.checks.is_empty()
     }
 
-    /// Whether a look is due soon.
+    /// Whether a probe is scheduled.
     pub fn has_probe_due(&self) -> bool {
         self.checks.values().any(|check| matches!(check.stage, Stage::Due { .. }))
     }
 
-    /// Servers in doubt at which a request broke.
+    /// Returns the number of unconfirmed crashes that a request may have caused.
     pub fn possible_crashes(&self, now: Time, fingerprint: Fingerprint) -> usize {
         let checks = self.checks.values().filter(|check| {
             check.stage != Stage::Crashed
--- a/src/poison/evidence.rs
+++ b/src/poison/evidence.rs
@@ -1,57 +1,61 @@
-//! What speaks for a request's part in ends of servers: how often, and how long before each, it was there.
+//! Estimates whether a request was present at server crashes by chance.
 
 use super::Incarnation;
 use crate::prelude::*;
 
-/// Servers that end under a request before it is blocked. At one or two ends others may have been there by
-/// chance: an engine that ends breaks up to some twenty requests, and their callers ask again at once.
+/// Min crashes at which a request must have been present to be blocked. One or two may be
+/// coincidence: a crash of an engine interrupts up to some twenty requests, and their callers retry
+/// at once.
 pub(super) const MIN_CRASHES: usize = 3;
-/// Least time for which a request counts as having been at a server: what is sent just before an end is there
-/// for next to no time, as often by chance as anything.
+/// Min run time that a request counts with. A request sent just before a crash has run for almost
+/// no time, which happens by chance as often as anything else.
 const MIN_RUN_TIME: Duration = Duration::from_millis(50);
 
-/// One end of a server: the server, and how often it had ended before, where its starts can't be told apart.
+/// One crash: the incarnation, and its number of earlier crashes where its starts can't be told
+/// apart.
 pub(super) type Key = (Incarnation, u32);
 
-/// What a request was blocked for.
+/// The observations that led to a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Evidence {
-    /// Ends of servers at which it was.
+    /// Crashes at which the request was present.
     pub crashes: usize,
-    /// Requests that are to be expected at as many ends by chance.
+    /// Number of requests expected to be present at as many crashes by chance.
     pub expected: f64,
 }
 
-/// What is known of a request that was present when servers ended.
+/// A request that was present at unexplained crashes.
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
-    /// The ends, and for how long it had been there at each.
+    /// The crashes, and the request's run time at each.
     pub(super) crashes: BTreeMap<Key, Duration>,
-    /// Servers of the pool.
+    /// Number of servers in the pool.
     pub(super) servers: u32,
 }
 
 impl Suspect {
-    /// How many requests that have no part in it are to be expected at as many of the ends around, having been there
-    /// for as long.
+    /// Expected number of unrelated requests that are present at as many of the baseline's crashes
+    /// with the same total run time.
     pub(super) fn expected(&self, baseline: Baseline) -> f64 {
         baseline.expected(self.crashes.len(), self.run_time().sum())
     }
 
-    /// The same where each run counts as the longest. What ends servers does so after about the same time; others that
-    /// are at several ends had been at some of them for a moment only by chance.
+    /// Same as [`Self::expected`] with each run counted as the longest. A harmful request crashes
+    /// servers after a similar time on each run; an unrelated one that was present at several
+    /// crashes had often just arrived at some of them.
     pub(super) fn expected_at_longest_run(&self, baseline: Baseline) -> f64 {
         let longest = self.run_time().fold(0.0, f64::max);
         baseline.expected(self.crashes.len(), longest * self.crashes.len() as f64)
     }
 
-    /// Seconds for which it had been there at each end.
+    /// Run time in seconds at each crash.
     fn run_time(&self) -> impl Iterator<Item = f64> {
         self.crashes.values().map(|run_time| run_time.max(&MIN_RUN_TIME).as_secs_f64())
     }
 
-    /// What is left of it without the ends at which `rival` was too. Callers that ask again at once, for what
-    /// shares a prompt, meet at the next server, so two suspects are often at the same ends.
+    /// Returns this suspect without the crashes that it shares with `rival`. Callers that retry at
+    /// once requests with a common prompt prefix meet at the next server, so two suspects are often
+    /// present at the same crashes.
     pub(super) fn without_shared_crashes(&self, rival: &Self) -> Self {
         let crashes = self.crashes.iter().filter(|(key, _)| !rival.crashes.contains_key(*key));
         Self {
@@ -61,20 +65,22 @@
     }
 }
 
-/// What happened in a pool around some ends of its servers.
+/// Crash statistics of a pool during a period.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Baseline {
-    /// Ends that nothing explains.
+    /// Unexplained crashes.
     pub(super) crashes: usize,
-    /// Requests that broke at these, or a few where fewer did.
+    /// Requests that these crashes interrupted, or [`super::state`]'s minimum where there were
+    /// fewer.
     pub(super) requests: usize,
-    /// Seconds for which servers were there, added up.
+    /// Total server time in seconds.
     pub(super) server_seconds: f64,
 }
 
 impl Baseline {
-    /// Requests to be expected at as many of the ends if each may come at any server and moment. A suspect's own ends
-    /// are among them and so make no other more likely: else three ends in a row in a pool of five would pass for chance.
+    /// Expected number of requests at `crashes` crashes if requests arrive independently of them. A
+    /// suspect's own crashes are excluded from the rate, or three crashes in a row in a pool of
+    /// five would pass for chance.
     fn expected(self, crashes: usize, ran_seconds: f64) -> f64 {
         let part = (ran_seconds / self.server_seconds).min(1.0);
         let others = self.crashes.saturating_sub(crashes);
--- a/src/poison/fingerprint.rs
+++ b/src/poison/fingerprint.rs
@@ -1,23 +1,23 @@
-//! What tells whether two requests ask for the same.
+//! Identifies requests by their content.
 
 use std::fmt;
 use std::str::FromStr;
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hash of what a request asks for and for whom. It is the same where a caller asks again, whatever id
-/// the request has by then and whichever daemon it comes to.
+/// Hash of a request's content and workspace. A retry has the same fingerprint, whatever its
+/// request id and whichever daemon receives it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a workspace's request.
+    /// Returns the fingerprint of a workspace's request.
     ///
     /// ```
     /// use cardamomvalve::poison::Fingerprint;
-    /// let asked = Fingerprint::of("lab", "POST", "/verdict/1", b"dissolved gas");
-    /// assert_eq!(asked, Fingerprint::of("lab", "POST", "/verdict/1", b"dissolved gas"));
-    /// assert_ne!(asked, Fingerprint::of("court", "POST", "/verdict/1", b"dissolved gas"));
+    /// let first = Fingerprint::of("lab", "POST", "/v1/completions", b"dissolved gas");
+    /// assert_eq!(first, Fingerprint::of("lab", "POST", "/v1/completions", b"dissolved gas"));
+    /// assert_ne!(first, Fingerprint::of("batch", "POST", "/v1/completions", b"dissolved gas"));
     /// ```
     pub fn of(workspace: &str, method: &str, target: &str, body: &[u8]) -> Self {
         let caller = xxh3_64(workspace.as_bytes());
@@ -32,7 +32,7 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let number = u64::from_str_radix(text, 16);
-        number.map(Self).map_err(|error| format!("{text:?} is no fingerprint: {error}"))
+        number.map(Self).map_err(|error| format!("invalid fingerprint {text:?}: {error}"))
     }
 }
 
--- a/src/poison/message.rs
+++ b/src/poison/message.rs
@@ -1,41 +1,41 @@
-//! What daemons tell each other about requests that may end servers.
+//! Messages between daemons about requests that may crash servers.
 
 use super::{Fingerprint, Incarnation};
 use crate::prelude::*;
 
-/// A request was running at a server when that ended.
+/// A request that was running at a server when the server crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Interruption {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The server.
+    /// The server's incarnation.
     pub incarnation: Incarnation,
     /// Hash of the server's pool.
     pub pool: u64,
-    /// Servers of that pool.
+    /// Number of servers in that pool.
     pub servers: u32,
-    /// For how long the request had been there.
+    /// How long the request had been running there.
     pub run_time: Duration,
-    /// How long ago the server ended.
+    /// How long ago the server crashed.
     pub age: Duration,
 }
 
-/// A request that is blocked.
+/// A request that all daemons refuse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Blocked {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// For how long it has been blocked.
+    /// How long it has been blocked.
     pub age: Duration,
 }
 
-/// A daemon's word on such requests.
+/// A message about suspects and blocks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Servers ended under these.
+    /// Requests that crashes interrupted.
     Interruptions(Vec<Interruption>),
-    /// This one was answered: it ends no servers.
+    /// A request was answered, so it doesn't crash servers.
     Served(Fingerprint),
-    /// These are blocked.
+    /// Blocked requests.
     Blocked(Vec<Blocked>),
 }
--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -1,10 +1,11 @@
-//! Requests that end the servers which run them: how they are recognised, and that they are refused.
+//! Detects requests that crash backend servers, and blocks them.
 //!
-//! A server that ends breaks every request that runs there. One of them may be the cause, and comes again: its
-//! caller sends it anew under another id, to any daemon. So each end of a server is noted with the fingerprints
-//! of the requests that broke there ([`Detector`], [`Interruption`]); a fingerprint that is found at several ends, and
-//! was never answered since, is blocked everywhere ([`State`]). An end at which a blocked request was present
-//! is explained by it and counts against no other, so requests that merely ran beside it are served.
+//! A crash breaks every request that was running at the server. One of them may be the cause, and
+//! returns: its caller retries it under another id, at any daemon. Each crash is therefore recorded
+//! with the fingerprints of the requests that it interrupted ([`Detector`], [`Interruption`]). A
+//! fingerprint that was present at several crashes and was never answered since is blocked by all
+//! daemons ([`State`]). A crash at which a blocked request was present is attributed to that
+//! request and counts against no other, so requests that merely ran beside it are served.
 
 mod detector;
 mod evidence;
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -1,31 +1,31 @@
-//! Records of the stream on the log that keeps what is blocked.
+//! Records of the log stream that stores blocks.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Blocked, Fingerprint};
 use crate::prelude::*;
 
-/// The version of the record's format.
+/// Version of the record format.
 const FORMAT: u32 = 1;
 
-/// One record: what is blocked besides, and what no longer is.
+/// One record: blocks that were added, and blocks that were lifted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Version of the format; 1.
     pub format: u32,
-    /// Fingerprints that are blocked, in hexadecimal.
+    /// Fingerprints of blocked requests, in hexadecimal.
     #[serde(default)]
     pub blocked: Vec<String>,
-    /// For how long each of them had been blocked when this was written, in seconds; 0 where there is none.
+    /// Age of each block when the record was written, in seconds; 0 where missing.
     #[serde(default)]
     pub ages_s: Vec<u64>,
-    /// Fingerprints that are blocked no longer.
+    /// Fingerprints whose block was lifted.
     #[serde(default)]
     pub lifted: Vec<String>,
 }
 
 impl Record {
-    /// A record of requests that are blocked, or no longer are.
+    /// Creates a record of added and lifted blocks.
     ///
     /// ```
     /// use std::time::Duration;
@@ -48,7 +48,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// What a record says is blocked, and is no longer; `None` where this release can't read it.
+    /// Decodes the added and the lifted blocks; `None` if this release can't read the record.
     pub fn decode(text: &str) -> Option<(Vec<Blocked>, Vec<Fingerprint>)> {
         let record: Self = serde_json::from_str(text).ok()?;
         let parse = |texts: &[String]| -> Option<Vec<Fingerprint>> {
--- a/src/poison/state.rs
+++ b/src/poison/state.rs
@@ -1,99 +1,104 @@
-//! Which requests were there when servers ended, and which are blocked for it.
+//! Attributes server crashes to requests, and keeps the blocks that follow.
 
 use super::evidence::{Baseline, Evidence, Key, MIN_CRASHES, Suspect};
 use super::{Blocked, Fingerprint, Incarnation, Interruption};
 use crate::prelude::*;
 
-/// Ends at which a request is blocked however likely chance is: a few servers that end often would else never
-/// tell, and a request that runs for seconds before it ends its server would go on for long.
+/// Max crashes at which a request may be present before it is blocked even if chance is not ruled
+/// out. Otherwise a few servers that crash often would never give enough evidence, and a request
+/// that runs for seconds before it crashes its server would continue for long.
 const MAX_UNBLOCKED_CRASHES: usize = 6;
-/// The same as [`EXPECTED`] at that many ends, where servers are known to end by themselves as well.
+/// Same as [`MAX_EXPECTED`] at that many crashes, where servers are known to crash spontaneously.
 const MAX_EXPECTED_AT_CRASH_LIMIT: f64 = 0.01;
-/// Ends that no request is left to have caused from which on servers are known to end by themselves.
+/// Min crashes without a remaining suspect from which on servers are known to crash spontaneously.
 const MIN_SPONTANEOUS_CRASHES: usize = 3;
-/// Time for which such ends count: longer than requests run, since of the newest ends some are always left.
+/// Time for which spontaneous crashes count. It is longer than requests run, since the newest
+/// crashes always have remaining suspects.
 const SPONTANEOUS_CRASH_WINDOW: Duration = Duration::from_secs(30);
-/// How many requests may be expected at as many ends by chance where one is blocked for being there. While servers
-/// end one after the other, requests that run for seconds are at three ends too, and of a crowd some are at more.
+/// Max expected number of requests present by chance at as many crashes as a request that is
+/// blocked. While servers crash one after the other, requests that run for seconds are present at
+/// three crashes too, and some of a large number at more.
 const MAX_EXPECTED: f64 = 1e-4;
-/// How many times more likely than a suspect another must be to have been at its own ends by chance, so that it is not
-/// taken for the cause of those that they share.
+/// Min ratio of a rival's chance of being present at its crashes by coincidence to a suspect's, for
+/// the rival not to be taken for the cause of their shared crashes.
 const MIN_LIKELIHOOD_RATIO: f64 = 1e3;
-/// How likely at most it may be that some one of those that broke at each end had been there for as short a time as the
-/// suspect, so that its short runs tell it from them. Where all had just come, short runs tell nothing.
+/// Max probability that one of the requests interrupted at each crash had run for as short a time
+/// as the suspect, for its short runs to distinguish it from a rival. Where all had just arrived,
+/// short runs are no evidence.
 const MAX_SHORT_RUN_PROBABILITY: f64 = 0.01;
-/// Requests of which a suspect counts as one at least: where few run, those that break meet again soon.
+/// Min number of requests assumed beside a suspect: where few run, interrupted requests meet again
+/// soon.
 const MIN_REQUESTS: usize = 5;
-/// Ends from which on another request may be the cause of them.
+/// Min crashes of another request for it to be a possible cause of a suspect's crashes.
 const MIN_RIVAL_CRASHES: usize = 2;
-/// Time before the first and after the last of a request's ends in which others tell, too, how often servers of
-/// the pool end.
+/// Time before the first and after the last of a request's crashes that is included in the crash
+/// rate of the pool.
 const BASELINE_MARGIN: Duration = Duration::from_secs(1);
-/// Time for which an end is remembered.
+/// Time for which a crash is kept.
 const CRASH_RETENTION: Duration = Duration::from_secs(3_600);
-/// Ends that are remembered at most; with twenty requests each some 2 MB.
+/// Max number of crashes kept; with twenty requests each they take some 2 MB.
 const MAX_CRASHES: usize = 2_048;
-/// Time for which a request stays blocked: a caller that asks for it without pause ends no more than three
-/// servers a day, and operators have had the time to mend theirs.
+/// Time for which a request stays blocked. A caller that repeats it without pause crashes no more
+/// than three servers a day, and operators have time to fix them.
 pub const BLOCK_DURATION: Duration = Duration::from_secs(24 * 3_600);
-/// Time for which a block that was lifted is not taken over from peers: longer than daemons are frozen or cut off, who
-/// tell of it as they knew it.
+/// Time for which a lifted block is not accepted from peers. It is longer than daemons are frozen
+/// or partitioned; these still announce the block when they return.
 const LIFTED_RETENTION: Duration = Duration::from_secs(3_600);
-/// Requests that are blocked at most; the oldest is let go for another.
+/// Max number of blocks; the oldest is removed for a new one.
 const MAX_BLOCKS: usize = 4_096;
 
-/// What is known of one end of a server.
+/// One crash of a server.
 #[derive(Debug)]
 struct Crash {
     at: Time,
     pool: u64,
-    /// The requests that broke there, and for how long each had been there.
+    /// The interrupted requests and their run times.
     present: BTreeMap<Fingerprint, Duration>,
-    /// Whether one of them is blocked, and so is the cause.
+    /// Whether one of them is blocked, and therefore the cause.
     explained: bool,
 }
 
-/// What is known of a blocked request.
+/// The state of one block.
 #[derive(Debug, Clone, Copy)]
 struct Block {
-    /// When this daemon heard of it.
+    /// When this daemon learned of the block.
     received_at: Time,
-    /// For how long it had been blocked by then, maybe since before this daemon's clock began.
+    /// Age of the block at that time; it may precede the start of this daemon's clock.
     age: Duration,
-    /// Whether the platform's store is known to keep it.
+    /// Whether the platform's store is known to hold it.
     is_stored: bool,
-    /// When it is next to be written there.
+    /// When it is next written there.
     write_at: Time,
-    /// What it was blocked for, where this daemon found that itself.
+    /// The evidence, if this daemon decided on the block.
     evidence: Option<Evidence>,
 }
 
 impl Block {
-    /// For how long the request has been blocked.
+    /// How long the request has been blocked.
     fn age(&self, now: Time) -> Duration {
         now.saturating_sub(self.received_at).saturating_add(self.age)
     }
 }
 
-/// Ends of servers, and blocked requests.
+/// Crashes of servers, suspects and blocks.
 #[derive(Debug, Default)]
 pub struct State {
     crashes: BTreeMap<Key, Crash>,
-    /// The ends that nothing explains yet, by the requests that were present.
+    /// The unexplained crashes by the requests that were present.
     suspects: BTreeMap<Fingerprint, Suspect>,
     blocks: BTreeMap<Fingerprint, Block>,
-    /// Blocks that were lifted, and when this daemon learnt of that.
+    /// Lifted blocks, and when this daemon learned of it.
     lifted: BTreeMap<Fingerprint, Time>,
 }
 
 impl State {
-    /// Notes that a request was running at a server that ended; whether it is blocked from now on.
+    /// Records that a request was running at a server that crashed. Returns whether this blocks it.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use cardamomvalve::poison::{Fingerprint, State, Interruption, Incarnation};
+    /// use cardamomvalve::poison::{Fingerprint, Incarnation, Interruption, State};
     /// let mut state = State::default();
-    /// let mut end = |server| {
+    /// let mut crash = |server| {
     ///     let incarnation = Incarnation::of(server, Some("1"));
     ///     let interruption = Interruption {
     ///         fingerprint: Fingerprint(7),
@@ -105,7 +110,7 @@
     ///     };
     ///     state.record_interruption(Duration::from_secs(9), interruption)
     /// };
-    /// assert!(!end("s-1") && !end("s-2") && end("s-3"));
+    /// assert!(!crash("s-1") && !crash("s-2") && crash("s-3"));
     /// ```
     pub fn record_interruption(&mut self, now: Time, interruption: Interruption) -> bool {
         let Interruption { fingerprint, incarnation, pool, servers, run_time, age } = interruption;
@@ -129,9 +134,9 @@
         evidence.is_some() && self.block_with_evidence(now, fingerprint, evidence)
     }
 
-    /// What speaks for it that a request has ended servers, if that is enough to block it: it was at so many ends,
-    /// and so briefly before each, that none of all that broke would be there by chance, also where another suspect
-    /// may have caused some; or it was at more ends than it is worth to be sure.
+    /// Returns the evidence against a request if it suffices for a block: it was present at so many
+    /// crashes, and so briefly before each, that none of the interrupted requests is expected there
+    /// by chance, even if another suspect caused some; or it reached [`MAX_UNBLOCKED_CRASHES`].
     fn evidence_to_block(&self, fingerprint: Fingerprint) -> Option<Evidence> {
         let suspect = self.suspects.get(&fingerprint)?;
         if suspect.crashes.len() < MIN_CRASHES {
@@ -150,14 +155,15 @@
         is_enough.then_some(Evidence { crashes: suspect.crashes.len(), expected })
     }
 
-    /// Whether servers end by themselves, and so often that some one of the requests is to be expected at as many ends.
+    /// Whether servers crash spontaneously, and so often that some request is expected to be
+    /// present at as many crashes.
     fn is_likely_coincidence(&self, suspect: &Suspect, baseline: Baseline) -> bool {
         suspect.expected_at_longest_run(baseline) > MAX_EXPECTED_AT_CRASH_LIMIT
             && self.spontaneous_crashes(suspect) >= MIN_SPONTANEOUS_CRASHES
     }
 
-    /// Ends of servers of a suspect's pool, until its own last one, that no request can have caused: all that broke
-    /// there were answered since.
+    /// Returns the crashes in a suspect's pool, up to its own last one, that no request can have
+    /// caused: all interrupted requests were answered since.
     fn spontaneous_crashes(&self, suspect: &Suspect) -> usize {
         let (_, last) = self.crash_span(suspect);
         let crashes =
@@ -166,8 +172,9 @@
         crashes.filter(|crash| !crash.present.keys().any(is_suspect)).count()
     }
 
-    /// Whether a suspect is the cause of ends rather than `rival`: without those that they share there are enough left,
-    /// or the rival had been there for long, as others that have no part in it, and the suspect had just come.
+    /// Whether a suspect rather than `rival` is the cause of its crashes. Either enough crashes are
+    /// left without the shared ones, or the rival had run for long, as unrelated requests do, and
+    /// the suspect had just arrived.
     fn is_distinguishable_from(
         &self,
         suspect: &Suspect,
@@ -184,7 +191,8 @@
             && self.short_run_probability(suspect) <= MAX_SHORT_RUN_PROBABILITY
     }
 
-    /// How likely one of those that broke at each end of a suspect had been there no longer than it.
+    /// Probability that one of the requests interrupted at each crash of a suspect had run no
+    /// longer than the suspect.
     fn short_run_probability(&self, suspect: &Suspect) -> f64 {
         let shares = suspect.crashes.iter().filter_map(|(key, run_time)| {
             let present = &self.crashes.get(key)?.present;
@@ -194,8 +202,9 @@
         shares.product()
     }
 
-    /// The ends of a suspect, if they are many, at which no other was that is less likely to have been at its own by
-    /// chance: several causes at once would else have those blocked that follow them from end to end.
+    /// Counts the crashes of a suspect, if they are many, at which no rival was present that is
+    /// less likely to have been at its own crashes by chance. Otherwise, with several causes at
+    /// once, requests that follow them from crash to crash would be blocked.
     fn crashes_best_explained_by(&self, fingerprint: Fingerprint, suspect: &Suspect) -> usize {
         if suspect.crashes.len() < MAX_UNBLOCKED_CRASHES {
             return 0;
@@ -209,7 +218,8 @@
         suspect.crashes.keys().filter(|key| !explained(key)).count()
     }
 
-    /// Others that were present at several ends of a suspect.
+    /// Returns other suspects that were present at several crashes and at one or more of this
+    /// suspect's.
     fn rivals(&self, fingerprint: Fingerprint, suspect: &Suspect) -> Vec<&Suspect> {
         let present = suspect.crashes.keys().filter_map(|key| self.crashes.get(key));
         let present: BTreeSet<&Fingerprint> =
@@ -219,7 +229,7 @@
         others.filter(|other| other.crashes.len() >= MIN_RIVAL_CRASHES).collect()
     }
 
-    /// How often servers of a suspect's pool ended around the suspect's ends.
+    /// Returns the crash statistics of a suspect's pool around the suspect's crashes.
     fn baseline(&self, suspect: &Suspect) -> Baseline {
         let (first, last) = self.crash_span(suspect);
         let (first, last) = (first.saturating_sub(BASELINE_MARGIN), last + BASELINE_MARGIN);
@@ -234,13 +244,13 @@
         }
     }
 
-    /// When the first and the last end came at which a suspect was.
+    /// Returns the times of a suspect's first and last crash.
     fn crash_span(&self, suspect: &Suspect) -> (Time, Time) {
         let at = || suspect.crashes.keys().filter_map(|key| Some(self.crashes.get(key)?.at));
         (at().min().unwrap_or_default(), at().max().unwrap_or_default())
     }
 
-    /// Ends of servers of a suspect's pool in a span of time that nothing explains.
+    /// Returns the unexplained crashes in a suspect's pool during a period.
     fn unexplained_crashes(
         &self,
         suspect: &Suspect,
@@ -253,7 +263,7 @@
         })
     }
 
-    /// The end of a server that was noticed at this time, the first time or once more.
+    /// Returns the key of the crash observed at `at`, and records the crash if it is new.
     fn crash_key(&mut self, incarnation: Incarnation, pool: u64, at: Time) -> Key {
         let last = self.crashes.range((incarnation, 0)..=(incarnation, u32::MAX)).next_back();
         let key = match last {
@@ -266,7 +276,7 @@
         key
     }
 
-    /// Notes that the cause of an end is known: the others that were present did not end the server.
+    /// Marks a crash as explained: the other requests present did not cause it.
     fn mark_explained(&mut self, key: Key) {
         let Some(crash) = self.crashes.get_mut(&key) else { return };
         crash.explained = true;
@@ -279,7 +289,7 @@
         }
     }
 
-    /// Blocks a request; whether it was not blocked before.
+    /// Blocks a request. Returns whether it was not blocked before.
     pub fn block(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         self.block_with_evidence(now, fingerprint, None)
     }
@@ -298,7 +308,7 @@
         is_new
     }
 
-    /// What a log line tells of a block.
+    /// Returns the log detail of a block.
     pub fn detail(&self, now: Time, fingerprint: Fingerprint) -> Detail {
         let evidence = self.evidence(fingerprint);
         Detail::of("fingerprint", fingerprint.to_string())
@@ -307,14 +317,15 @@
             .and_some("expected", evidence.map(|evidence| evidence.expected))
     }
 
-    /// What a request is blocked for, where this daemon found that itself.
+    /// Returns the evidence for a block, if this daemon decided on it.
     pub fn evidence(&self, fingerprint: Fingerprint) -> Option<Evidence> {
         self.blocks.get(&fingerprint)?.evidence
     }
 
-    /// Takes over that others have blocked a request; whether it was not blocked before. The longest age that is told
-    /// holds: counted from each hearing, two daemons would keep a block alive for each other. Who has not heard yet that
-    /// a block was lifted tells of it on, so what was let go stays so, or it would be blocked everywhere again.
+    /// Merges a block from a peer. Returns whether the request was not blocked before. The greatest
+    /// age wins: if age counted from each receipt, two daemons would keep a block alive for each
+    /// other. A peer that doesn't know yet that a block was lifted still announces it, so a lifted
+    /// block stays lifted, or it would be blocked everywhere again.
     pub fn merge_block(&mut self, now: Time, remote: Blocked) -> bool {
         let Blocked { fingerprint, age } = remote;
         let is_over = age >= BLOCK_DURATION || self.lifted.contains_key(&fingerprint);
@@ -347,8 +358,9 @@
         true
     }
 
-    /// Takes over that the platform's store keeps a block; whether the request was not blocked before, and is now. One
-    /// that has lapsed is taken over until [`Self::expire`] finds it, and so has it taken away there.
+    /// Merges a block that the platform's store holds. Returns whether the request is blocked and
+    /// was not before. An expired block is added until [`Self::expire`] finds it, so that it is
+    /// also removed from the store.
     pub fn add_stored_block(&mut self, now: Time, remote: Blocked) -> bool {
         self.lifted.remove(&remote.fingerprint);
         let is_new = self.insert_block(now, remote);
@@ -358,19 +370,19 @@
         is_new && remote.age < BLOCK_DURATION
     }
 
-    /// Forgets a block that had lapsed before the one that is told next.
+    /// Removes a block that had expired before the next one from the store.
     pub fn remove_block(&mut self, fingerprint: Fingerprint) {
         self.blocks.remove(&fingerprint);
     }
 
-    /// Ends a block that the platform's store no longer keeps; whether there was one.
+    /// Lifts a block that the platform's store no longer holds. Returns whether there was one.
     pub fn lift(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         self.lifted.insert(fingerprint, now);
         self.blocks.remove(&fingerprint).is_some()
     }
 
-    /// Notes that a request was answered: it ends no servers. `None` where it was not suspected of that, else
-    /// those that are blocked from now on since it can't have been the cause.
+    /// Clears a suspect that was answered, since it doesn't crash servers. Returns `None` if it was
+    /// no suspect, else the requests that are blocked now that it can't have been the cause.
     pub fn clear_suspect(
         &mut self,
         now: Time,
@@ -397,25 +409,25 @@
         self.blocks.contains_key(&fingerprint)
     }
 
-    /// How long a block still lasts.
+    /// Returns the remaining time of a block.
     pub fn block_remaining(&self, now: Time, fingerprint: Fingerprint) -> Duration {
         let block = self.blocks.get(&fingerprint);
         block.map_or(Duration::ZERO, |block| BLOCK_DURATION.saturating_sub(block.age(now)))
     }
 
-    /// Whether a request that is found at so many more ends of servers has been at as many as it takes to
-    /// block it.
-    pub fn reaches_block_threshold(&self, fingerprint: Fingerprint, more: usize) -> bool {
-        self.is_blocked(fingerprint) || self.crash_count(fingerprint) + more >= MIN_CRASHES
+    /// Whether a request is blocked, or present at enough crashes for a block if `additional` ones
+    /// are counted.
+    pub fn reaches_block_threshold(&self, fingerprint: Fingerprint, additional: usize) -> bool {
+        self.is_blocked(fingerprint) || self.crash_count(fingerprint) + additional >= MIN_CRASHES
     }
 
-    /// Whether a request was found at all ends but one that it takes to block it.
+    /// Whether a request is at most one crash short of the number for a block.
     pub fn is_near_block_threshold(&self, fingerprint: Fingerprint) -> bool {
         !self.suspects.is_empty() && self.reaches_block_threshold(fingerprint, 1)
     }
 
-    /// Leaves of the places for a request those where what runs is least suspect, by ends: the next end beside
-    /// another suspect would tell neither from the other.
+    /// Keeps only the places for a near-threshold request whose running requests have the fewest
+    /// crashes: a crash beside another suspect would not tell the two apart.
     pub fn avoid_other_suspects<K: Ord, T>(
         &self,
         fingerprint: Fingerprint,
@@ -437,18 +449,19 @@
         places.retain(|(place, _)| crashes_of(place) == min_crashes);
     }
 
-    /// Whether a request was at as many ends as it takes to block it and chance is not ruled out: what the
-    /// next run shows is waited for, since copies side by side would end more servers and tell no more.
+    /// Whether a request was present at enough crashes for a block while chance is not ruled out.
+    /// The result of one run is awaited before the next, since copies side by side would crash more
+    /// servers and add no evidence.
     pub fn runs_one_at_a_time(&self, fingerprint: Fingerprint) -> bool {
         self.crash_count(fingerprint) >= MIN_CRASHES
     }
 
-    /// The ends that nothing explains at which a request was.
+    /// Returns the number of unexplained crashes at which a request was present.
     fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         self.suspects.get(&fingerprint).map_or(0, |suspect| suspect.crashes.len())
     }
 
-    /// All strikes that nothing explains yet, for a daemon that is to go on from here.
+    /// Returns all interruptions by unexplained crashes, for a daemon that takes over.
     pub fn interruptions(&self, now: Time) -> Vec<Interruption> {
         let interruptions = self.suspects.iter().flat_map(|(fingerprint, suspect)| {
             suspect.crashes.iter().filter_map(|(key, run_time)| {
@@ -466,15 +479,15 @@
         interruptions.collect()
     }
 
-    /// Blocks that the platform's store is not known to keep.
+    /// Returns the blocks that the platform's store is not known to hold.
     pub fn unstored_blocks(&self, now: Time) -> Vec<Blocked> {
-        let unkept = |blocked: &Blocked| {
+        let unstored = |blocked: &Blocked| {
             self.blocks.get(&blocked.fingerprint).is_some_and(|block| !block.is_stored)
         };
-        self.blocks(now).filter(unkept).collect()
+        self.blocks(now).filter(unstored).collect()
     }
 
-    /// All blocks.
+    /// Returns all blocks.
     pub fn blocks(&self, now: Time) -> impl Iterator<Item = Blocked> {
         let blocks = self.blocks.iter();
         blocks.map(move |(fingerprint, block)| Blocked {
@@ -483,8 +496,8 @@
         })
     }
 
-    /// Blocks that are to be written to the platform's store now, and again after `pause` where it is not
-    /// seen to keep them by then.
+    /// Returns the blocks to write to the platform's store now. Each is due again after `pause`
+    /// unless the store is seen to hold it by then.
     pub fn due_writes(&mut self, now: Time, pause: Duration) -> Vec<Blocked> {
         let due =
             self.blocks.iter_mut().filter(|(_, block)| !block.is_stored && now >= block.write_at);
@@ -495,7 +508,7 @@
         due.collect()
     }
 
-    /// Forgets what is too old; the blocks that have lapsed.
+    /// Removes old crashes and expired blocks. Returns the expired blocks.
     pub fn expire(&mut self, now: Time) -> Vec<Fingerprint> {
         let surplus = self.crashes.len().saturating_sub(MAX_CRASHES);
         let mut oldest: Vec<(Time, Key)> = Vec::new();
@@ -511,11 +524,11 @@
             self.crashes.remove(&key);
         }
         self.lifted.retain(|_, at| now < *at + LIFTED_RETENTION);
-        let lapsed = self.blocks.iter().filter(|(_, block)| block.age(now) >= BLOCK_DURATION);
-        let lapsed: Vec<Fingerprint> = lapsed.map(|(fingerprint, _)| *fingerprint).collect();
-        for fingerprint in &lapsed {
+        let expired = self.blocks.iter().filter(|(_, block)| block.age(now) >= BLOCK_DURATION);
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in &expired {
             self.blocks.remove(fingerprint);
         }
-        lapsed
+        expired
     }
 }
--- a/src/poison/wire.rs
+++ b/src/poison/wire.rs
@@ -1,4 +1,4 @@
-//! The form of daemons' word on the wire.
+//! Protobuf encoding of the messages about suspects and blocks.
 
 use super::{Fingerprint, Incarnation, Interruption};
 use crate::prelude::*;
@@ -9,7 +9,7 @@
     fingerprint: u64,
     #[prost(fixed64, tag = "2")]
     server: u64,
-    /// 0 where nothing tells the server's starts apart.
+    /// 0 if the server's starts can't be told apart.
     #[prost(fixed64, tag = "3")]
     start: u64,
     #[prost(uint32, tag = "4")]
@@ -26,7 +26,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// What daemons tell each other about requests that may end servers.
+/// A message between daemons about suspects and blocks.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
     #[prost(message, repeated, tag = "1")]
@@ -39,12 +39,12 @@
     blocked_ages_ms: Vec<u32>,
 }
 
-/// Blocked requests, and for how long they have been, as two lists.
+/// Splits blocks into a list of fingerprints and a list of ages.
 pub(crate) fn blocks_to_wire(blocked: &[super::Blocked]) -> (Vec<u64>, Vec<u32>) {
     blocked.iter().map(|block| (block.fingerprint.0, millis_u32(block.age))).unzip()
 }
 
-/// Blocked requests from two such lists; one that no age is told of has just been blocked.
+/// Joins lists of fingerprints and ages into blocks; a missing age counts as 0.
 pub(crate) fn blocks_from_wire(fingerprints: Vec<u64>, ages_ms: Vec<u32>) -> Vec<super::Blocked> {
     let ages = ages_ms.into_iter().chain(std::iter::repeat(0));
     let blocked = fingerprints.into_iter().zip(ages);
