--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,11 +1,11 @@
-//! A budget of retries, so that a failing server does not double the load on the others.
+//! A retry budget, so that a failing server does not double the load on the others.
 
 /// Retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries that may be saved up.
+/// Max retries that the budget accumulates.
 const MAX_RETRIES: f64 = 20.0;
 
-/// How many retries may still be made.
+/// The number of retries still allowed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget(f64);
 
@@ -16,12 +16,12 @@
 }
 
 impl Budget {
-    /// Notes a request, which earns a part of a retry.
+    /// Adds the part of a retry that a request allows.
     pub fn deposit(&mut self) {
         self.0 = (self.0 + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Takes one retry out; false where none is left.
+    /// Withdraws one retry. Returns false if none is available.
     ///
     /// ```
     /// let mut budget = cardamomvalve::admission::Budget::default();
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! What waits for a pool, in what order, and what is refused.
+//! Admission control: the queue of a pool, its order, and when requests are refused.
 
 mod budget;
 mod queue;
@@ -10,10 +10,10 @@
 
 use crate::manifest::Priority;
 
-/// Slots of a server that requests of `priority` may fill, of `max_in_flight`.
+/// Returns how many of a server's `max_in_flight` slots requests of `priority` may use.
 ///
-/// The rest is kept for higher classes, so that these find a server that is not busy with a long
-/// prefill of a lower one.
+/// The rest is reserved for higher classes, so that these find a server that is not busy with a
+/// long prefill of a lower one.
 ///
 /// ```
 /// use cardamomvalve::admission::max_slots;
@@ -30,7 +30,7 @@
     (max_in_flight - reserved).max(1)
 }
 
-/// Milliseconds as whole seconds for a `Retry-After`, from 1 to 60.
+/// Converts milliseconds to whole seconds for a `Retry-After`, from 1 to 60.
 ///
 /// ```
 /// assert_eq!(cardamomvalve::admission::retry_after_seconds(1_200.0), 2);
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,7 +1,7 @@
 //! The queue of one pool: strict by priority class, fair by workspace within a class.
 //!
 //! Fairness is start-time fair queueing: each workspace's requests get virtual start times that
-//! advance by cost over share, and the least start goes first.
+//! advance by cost over share, and the request with the lowest start time goes first.
 
 use crate::attempt;
 use crate::manifest::Priority;
@@ -20,9 +20,9 @@
     pub share: u32,
     /// Its cost, in prompt and answer tokens.
     pub cost: u32,
-    /// When it must have been sent.
+    /// Latest time at which it may be sent.
     pub deadline: Time,
-    /// Whether it goes before all others of its class: it was served already, and failed.
+    /// Whether it is a retry after a failure, which precedes all others of its class.
     pub is_retry: bool,
 }
 
@@ -52,18 +52,18 @@
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Number of waiting requests that go before a new one of `priority`.
+    /// Returns the number of waiting requests ahead of a new one of `priority`.
     pub fn count_ahead(&self, priority: Priority) -> usize {
         self.waiting.range(..(priority, u64::MAX, u64::MAX)).count()
     }
 
-    /// Puts `entry` in its place. With `limit` waiting already, the last of a lower class makes
-    /// room and is returned; where there is none, the queue is full.
+    /// Inserts `entry` at its position. If `limit` requests wait already, the last one of a lower
+    /// class is displaced and returned; if there is none, the queue is full.
     pub fn push(&mut self, entry: Entry, limit: usize) -> Result<Option<attempt::Key>, Full> {
         let mut displaced = None;
         if self.waiting.len() >= limit {
@@ -95,12 +95,12 @@
         start
     }
 
-    /// The waiting requests in the order in which they are to be served.
+    /// Returns the waiting requests in the order of service.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.waiting.values()
     }
 
-    /// Takes a request out to be served; virtual time advances to its start.
+    /// Removes a request to serve it; virtual time advances to its start.
     pub fn dequeue(&mut self, request: attempt::Key) -> Option<Entry> {
         let position = *self.positions.get(&request)?;
         let time = self.virtual_time.entry(position.0).or_insert(0);
@@ -113,7 +113,7 @@
         entry
     }
 
-    /// Takes a request out that is not to be served.
+    /// Removes a request without serving it.
     pub fn remove(&mut self, request: attempt::Key) -> Option<Entry> {
         let position = self.positions.remove(&request)?;
         let entry = self.waiting.remove(&position)?;
@@ -121,7 +121,7 @@
         Some(entry)
     }
 
-    /// Takes out every request whose deadline has come.
+    /// Removes and returns every request whose deadline has passed.
     pub fn expire(&mut self, now: Time) -> Vec<attempt::Key> {
         let expired: Vec<attempt::Key> = self
             .deadlines
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -1,4 +1,4 @@
-//! What one workspace has left, as one daemon counts it.
+//! The token bucket of one workspace in one daemon.
 
 use std::collections::VecDeque;
 
@@ -6,31 +6,33 @@
 use super::{Policy, Quota, Role};
 use crate::prelude::*;
 
-/// Time that is filled at a look at most: several times as long as it is from one look to the next.
+/// Max time covered by one refill: several times the interval between refills.
 const MAX_REFILL_TIME: Duration = Duration::from_millis(400);
-/// Time by which callers come back later than they were told.
+/// Time by which callers may return later than their retry-after time.
 const RESERVATION_GRACE: Duration = Duration::from_millis(500);
 
-/// Units that are left, filled at the workspace's rate.
+/// A token bucket that refills at the workspace's rate.
 #[derive(Debug)]
 pub(super) struct Bucket {
     quota: Quota,
-    /// Below zero where more was used than was left.
+    /// Negative if more was used than was available.
     level: f64,
-    /// What a deputy may use of it.
+    /// Units of it that a deputy may use.
     deputy_level: f64,
-    /// What can be saved up, and what is filled a second.
+    /// Max units, and units refilled per second.
     capacity: f64,
     steady_rate: f64,
     refilled_at: Time,
     role: Role,
-    /// What was promised to callers that were told to come back: until when, and units.
+    /// Units reserved for callers that were sent a retry-after time, and the time at which each
+    /// reservation expires.
     reservations: VecDeque<(Time, f64)>,
 }
 
 impl Bucket {
-    /// What is left where a daemon that has been in its role since `since`, and began with a part of what can be
-    /// saved, has let nothing in. It knows of nothing before its start, which is time zero.
+    /// Creates the bucket of a daemon that has been in its role since `since`, began it with
+    /// `initial_part` of the capacity, and admitted nothing. The daemon knows of no usage before
+    /// its start at time zero.
     pub(super) fn new(
         now: Time,
         quota: Quota,
@@ -57,14 +59,14 @@
         bucket
     }
 
-    /// What a daemon that has run for so long begins with in a new role: the keeper before may have spent what was
-    /// left, untold.
+    /// Returns the level with which a daemon that has run for `role_time` begins a role: the former
+    /// keeper may have spent the rest unreported.
     fn initial_level(&self, role_time: Duration, initial_part: f64) -> f64 {
         let filled = self.steady_rate * role_time.as_secs_f64();
         filled.min(self.capacity * initial_part).min(self.max_level())
     }
 
-    /// Most that may be left.
+    /// Returns the max level in the present role.
     fn max_level(&self) -> f64 {
         match self.role {
             Role::Keeper { .. } | Role::Deputy { .. } => self.capacity,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Units a second that are filled.
+    /// Returns the refill rate in units per second.
     pub(super) fn rate(&self) -> f64 {
         self.rate_in(self.role)
     }
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Fills what time has brought. A daemon that stood still is not filled for it: others counted meanwhile.
+    /// Refills the bucket for the elapsed time. Time for which the daemon was frozen doesn't count,
+    /// since others counted meanwhile.
     pub(super) fn refill(&mut self, now: Time) {
         let elapsed = now.saturating_sub(self.refilled_at).min(MAX_REFILL_TIME);
         let filled = self.rate() * elapsed.as_secs_f64();
@@ -101,11 +104,11 @@
             .min(self.capacity * DEPUTY_CAPACITY_PART);
     }
 
-    /// Goes on in another role.
+    /// Changes the role.
     pub(super) fn set_role(&mut self, now: Time, role: Role, initial_part: f64) {
         let former = self.role;
         if self.rate_in(role) < self.rate() {
-            // When others noticed is not known, so the lower rate counts from the last look on.
+            // It is unknown when others noticed, so the lower rate applies from the last refill on.
             self.role = role;
         }
         self.refill(now);
@@ -123,7 +126,7 @@
         self.level = self.level.min(self.max_level());
     }
 
-    /// Goes on with another quota.
+    /// Changes the quota.
     pub(super) fn set_quota(&mut self, now: Time, policy: Policy, quota: Quota) {
         if quota != self.quota {
             self.refill(now);
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Units that this daemon may let in at once.
+    /// Returns the units that this daemon may admit at once.
     pub(super) fn available(&self) -> f64 {
         match self.role {
             Role::Keeper { lent, .. } => self.level.min(self.capacity * lent),
@@ -142,31 +145,31 @@
         }
     }
 
-    /// Whether a request of so many units may be let in. Callers that come back go first: what was promised
-    /// them is not for newcomers.
+    /// Whether a request of `units` may be admitted. Callers with a reservation have precedence:
+    /// reserved units are not available to new ones.
     pub(super) fn can_admit(&self, policy: Policy, units: f64, has_reservation: bool) -> bool {
         let reserved =
             if has_reservation { 0.0 } else { self.reserved_units().min(self.capacity / 2.0) };
-        // What is larger than all that can be saved up waits for as much as that.
+        // A request larger than the capacity waits for a full bucket.
         let needed = (units + reserved).min(self.capacity);
         units <= self.quota.max_burst(policy).max(1.0) && self.available() >= needed
     }
 
-    /// Takes units, also those that are not left: they ran, or will.
+    /// Charges units, also beyond those available: they were or will be used.
     pub(super) fn charge(&mut self, units: f64) {
         self.level -= units;
         self.deputy_level -= units;
     }
 
-    /// Takes what another daemon used. What one that this daemon had not heard of used may be old, so it makes no
-    /// debt that lasts.
+    /// Charges units that another daemon used. A daemon not heard of before may report old usage,
+    /// so this causes no lasting debt.
     pub(super) fn charge_remote(&mut self, units: f64) {
         let min_level = self.level.min(-self.steady_rate);
         self.level = (self.level - units).max(min_level);
     }
 
-    /// Time after which there will be room for a request of so many units behind those that were promised
-    /// theirs; it is promised its own unless that is later than `in_time`.
+    /// Returns the time after which there is room for a request of `units` behind the existing
+    /// reservations, and reserves them unless that is later than `max_wait`.
     pub(super) fn reserve(
         &mut self,
         now: Time,
@@ -183,7 +186,7 @@
         Some(delay)
     }
 
-    /// Takes over that a caller has come back for what was promised.
+    /// Removes the oldest reservation, whose caller has returned.
     pub(super) fn claim_reservation(&mut self) {
         self.reservations.pop_front();
     }
@@ -192,7 +195,7 @@
         self.reservations.iter().map(|(_, units)| units).sum()
     }
 
-    /// Whether nothing was used for so long that this tells no more than a new one would.
+    /// Whether the bucket is full and without reservations, and so equals a new one.
     pub(super) fn is_full(&self) -> bool {
         self.reservations.is_empty() && self.level >= self.max_level()
     }
--- a/src/quota/limit.rs
+++ b/src/quota/limit.rs
@@ -1,64 +1,65 @@
-//! What a workspace may have.
+//! Limits of a workspace, and the bucket sizes that follow from them.
 
 use crate::prelude::*;
 
-/// The part of its keeper's savings that a new keeper begins with, as long as the old one may be there too.
+/// Part of the capacity that a new keeper begins with while the old one may still be active.
 pub(super) const NEW_KEEPER_CAPACITY_PART: f64 = 0.25;
-/// The part of what it is lent that a new keeper counts until the one before has noticed.
+/// Part of its lent rate that a new keeper uses until the old one has noticed the change.
 pub(super) const NEW_KEEPER_RATE_PART: f64 = 0.5;
-/// The part of a workspace's savings that each other scheduler may use.
+/// Part of the capacity that each other scheduler may use.
 pub(super) const DEPUTY_CAPACITY_PART: f64 = 0.125;
-/// The same for all other daemons together.
+/// Part of the capacity for all other daemons together.
 pub(super) const OTHERS_CAPACITY_PART: f64 = 0.125;
-/// Schedulers beside the keeper.
+/// Number of schedulers besides the keeper.
 const DEPUTY_COUNT: f64 = 2.0;
-/// What daemons may use at worst at a time, as a multiple of a workspace's savings.
+/// Max units that all daemons may use at once, as a multiple of the capacity.
 const WORST_CASE_CAPACITIES: f64 =
     1.0 + NEW_KEEPER_CAPACITY_PART + DEPUTY_COUNT * DEPUTY_CAPACITY_PART + OTHERS_CAPACITY_PART;
 
-/// What a quota counts.
+/// The unit that a quota counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
     /// Requests.
     Requests,
-    /// Tokens of the prompt and of the longest answer; a request that tells of none counts as `default_tokens`.
+    /// Tokens of the prompt and of the longest answer; a request without token counts uses
+    /// `default_tokens`.
     Tokens {
-        /// Tokens of a request that tells of none.
+        /// Tokens of a request without token counts.
         default_tokens: u32,
     },
 }
 
-/// What a workspace may have in any window: `rate` for each of its seconds, and `burst` besides.
+/// Limit of a workspace: `rate` for each second of any window, plus `burst`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quota {
     /// Units a second.
     pub rate: u64,
-    /// Units besides.
+    /// Additional units per window.
     pub burst: u64,
-    /// What is counted.
+    /// The unit counted.
     pub unit: Unit,
 }
 
-/// How operators hold quotas against what ran.
+/// How operators compare quotas with actual usage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// The part by which a window may be over the quota.
+    /// Fraction by which a window may exceed the quota.
     pub overage: f64,
-    /// Units by which it may be over besides.
+    /// Additional units by which it may exceed the quota.
     pub slack: f64,
 }
 
 impl Default for Policy {
-    /// Eight seconds, and nothing beyond the quota.
+    /// A window of eight seconds without tolerance.
     fn default() -> Self {
         Self { window: Duration::from_secs(8), overage: 0.0, slack: 0.0 }
     }
 }
 
 impl Quota {
-    /// Units that a request counts as, by its tokens where it tells of some.
+    /// Returns the units of a request, by its token count if it has one.
     ///
     /// ```
     /// use cardamomvalve::quota::{Quota, Unit};
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Units that may run in any window.
+    /// Returns the max units in any window.
     ///
     /// ```
     /// use cardamomvalve::quota::{Quota, Policy, Unit};
@@ -84,14 +85,15 @@
         quota * (1.0 + policy.overage) + policy.slack
     }
 
-    /// Units of a window that may come at once: what may be over the quota, or half of the burst where that is more.
+    /// Returns the max units of a window that may arrive at once: the tolerance over the quota, or
+    /// half of the burst if that is more.
     pub(super) fn max_burst(&self, policy: Policy) -> f64 {
         let quota = self.rate as f64 * policy.window.as_secs_f64() + self.burst as f64;
         (self.max_in_window(policy) - quota).max(self.burst as f64 / 2.0)
     }
 
-    /// Units a second that a workspace may have run on and on. Its burst is there in each window, so a workspace
-    /// that always asks for more than its rate may have it spread out.
+    /// Returns the sustained rate in units per second. The burst is available in each window, so a
+    /// workspace that always demands more than its rate may spread it out.
     ///
     /// ```
     /// use cardamomvalve::quota::{Quota, Policy, Unit};
@@ -102,8 +104,8 @@
         (self.max_in_window(policy) - self.max_burst(policy)) / policy.window.as_secs_f64()
     }
 
-    /// Units that a workspace may save up: as much as leaves room in a window for what runs steadily, and for
-    /// whatever daemons may use that do not know of each other; one request in any case.
+    /// Returns the bucket capacity: as much as leaves room in a window for the sustained rate, and
+    /// for what daemons may use that don't know of each other; one request in any case.
     pub fn capacity(&self, policy: Policy) -> f64 {
         (self.max_burst(policy) / WORST_CASE_CAPACITIES).max(1.0)
     }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,15 +1,17 @@
-//! Quotas of workspaces: what one may have run in any window, counted by all daemons together.
+//! Quotas of workspaces: what a workspace may use in any window, counted by all daemons together.
 //!
-//! Daemons that each keep a share turn most requests away, since one prompt is larger than what a share
-//! saves up in seconds; daemons that each go by themselves let a workspace have its quota many times over.
-//! So one daemon, the keeper, counts for all: the scheduler through which most tokens pass anyway.
-//! It may let in what the daemons lend it that take it for the keeper, each its share of the rate; two that
-//! take themselves for keepers, on the two sides of a cut, so have no more than one quota between them.
-//! Any other daemon has a small part of its own, and says what it used.
+//! If each daemon kept a share, most requests would be refused, since one prompt is larger than
+//! what a share accumulates in seconds. If each daemon counted by itself, a workspace would get its
+//! quota many times over. So one daemon, the keeper, counts for all: the scheduler through which
+//! most tokens pass anyway. It may admit the shares of the rate that are lent to it by the daemons
+//! that regard it as the keeper. Two daemons that both regard themselves as keeper, on the two
+//! sides of a partition, therefore have no more than one quota between them. Any other daemon has a
+//! small part of its own, and reports what it used.
 //!
-//! What a workspace may save up leaves room under its quota for all of that ([`Quota::saved`]): for what a new
-//! keeper takes over while the old one may still be there, and for the parts of the others. A daemon that has
-//! just started knows nothing of the window that runs, and begins with nothing saved.
+//! The bucket capacity of a workspace leaves room under its quota for all of that
+//! ([`Quota::capacity`]): for what a new keeper takes over while the old one may still be active,
+//! and for the parts of the others. A daemon that has just started doesn't know the usage of the
+//! current window, and begins with an empty bucket.
 
 mod bucket;
 mod limit;
--- a/src/quota/state.rs
+++ b/src/quota/state.rs
@@ -1,63 +1,66 @@
-//! What all workspaces with a quota have left, as one daemon counts it.
+//! The token buckets of all workspaces with a quota in one daemon.
 
 use super::bucket::Bucket;
 use super::limit::NEW_KEEPER_CAPACITY_PART;
 use super::{Policy, Quota};
 use crate::prelude::*;
 
-/// Time for which what was used is told: longer than other daemons are out of touch and still count.
+/// Time for which usage is reported. It is longer than other daemons are unreachable and still
+/// count.
 const USAGE_REPORT_TIME: Duration = Duration::from_secs(10);
 
-/// A daemon's part in counting.
+/// A daemon's role in counting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Role {
-    /// It counts for all that lend it their shares: this part of all daemons.
+    /// Counts for all daemons that lend it their shares.
     Keeper {
-        /// Between 0 and 1.
+        /// The lending daemons as a part of all daemons, between 0 and 1.
         lent: f64,
-        /// Whether the keeper before may not have noticed yet, so that a part of the rate counts alone.
+        /// Whether the former keeper may not have noticed yet, so that only a part of the rate
+        /// applies.
         is_new: bool,
     },
-    /// It schedules and is told what others use, but another daemon is the keeper.
+    /// A scheduler that receives the usage of others while another daemon is the keeper.
     Deputy {
-        /// Whether the keeper was heard of lately: what it lets in meanwhile is not known otherwise.
+        /// Whether the keeper was heard from lately; otherwise its admissions are unknown.
         hears_keeper: bool,
     },
-    /// It is told nothing; the daemons are so many.
+    /// A daemon that receives no usage reports.
     Other {
-        /// All daemons, this one among them.
+        /// Number of all daemons including this one.
         daemons: usize,
     },
 }
 
-/// A request that wants to be let in.
+/// A request to be admitted.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand<'a> {
     /// The workspace's name.
     pub workspace: &'a str,
-    /// What it may have.
+    /// The workspace's quota.
     pub quota: Quota,
-    /// Units that the request counts as.
+    /// Units of the request.
     pub units: u64,
-    /// Whether its caller was promised room before and has come back.
+    /// Whether its caller has returned after an earlier reservation.
     pub has_reservation: bool,
-    /// The longest time for which its caller may be told to stay away and still be answered in time.
+    /// Max retry-after time with which the request can still be answered in time.
     pub max_wait: Duration,
 }
 
-/// Why a request was not let in.
+/// Details of a request that was not admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rejection {
-    /// Time after which there will be room, promised to the caller; `None` where that is too late. Under a workspace
-    /// that asks for more than its quota on and on, all would else come back and be late.
+    /// Time after which there is room, reserved for the caller; `None` if that is too late.
+    /// Otherwise all callers of a workspace that constantly exceeds its quota would return and be
+    /// late.
     pub retry_after: Option<Duration>,
-    /// Units that were left to this daemon.
+    /// Units available to this daemon.
     pub available: f64,
-    /// Units a second that this daemon may let in.
+    /// Units per second that this daemon may admit.
     pub rate: f64,
 }
 
-/// What a daemon has used of a workspace's quota since its start, less what it gave back.
+/// Units of a workspace's quota that a daemon has used since its start, less refunds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Usage {
     /// The workspace's name.
@@ -66,29 +69,29 @@
     pub units: u64,
 }
 
-/// Units that this daemon let in.
+/// Units that this daemon admitted.
 #[derive(Debug, Clone, Copy, Default)]
 struct Counter {
     units: u64,
     changed_at: Time,
 }
 
-/// What another daemon told of its use.
+/// Usage reported by another daemon.
 #[derive(Debug, Default)]
 struct Peer {
     incarnation: u64,
     units: BTreeMap<String, u64>,
 }
 
-/// The quotas of all workspaces that were used lately.
+/// The quotas of all workspaces with recent usage.
 #[derive(Debug)]
 pub struct State {
     policy: Policy,
     role: Role,
-    /// When it came into it, and the part of what can be saved that it began with.
+    /// When the role began, and the part of the capacity that it began with.
     role_since: Time,
     initial_part: f64,
-    /// When it last began with some.
+    /// When a role last began with a part above zero.
     initial_part_at: Option<Time>,
     buckets: BTreeMap<String, Bucket>,
     local_usage: BTreeMap<String, Counter>,
@@ -96,7 +99,7 @@
 }
 
 impl State {
-    /// A state that knows of no use, in a daemon whose clock begins now.
+    /// Creates a state without usage, in a daemon whose clock starts now.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
@@ -110,12 +113,12 @@
         }
     }
 
-    /// This daemon's part in counting.
+    /// Returns this daemon's role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Goes on in a role, and forgets what tells no more.
+    /// Sets the role, and removes full buckets.
     pub fn set_role(&mut self, now: Time, role: Role) {
         if std::mem::discriminant(&role) != std::mem::discriminant(&self.role) {
             self.role_since = now;
@@ -128,7 +131,8 @@
         self.buckets.retain(|_, bucket| !bucket.is_full());
     }
 
-    /// The part of what can be saved that this daemon begins a role with; once in a window, however often roles change.
+    /// Returns the part of the capacity that this daemon begins a role with; above zero once per
+    /// window, however often roles change.
     fn initial_part_for(&mut self, now: Time, role: Role) -> f64 {
         let is_recent = self.initial_part_at.is_some_and(|at| now < at + self.policy.window);
         if is_recent || matches!(role, Role::Other { .. }) {
@@ -138,7 +142,7 @@
         NEW_KEEPER_CAPACITY_PART
     }
 
-    /// Lets a request in and counts it, or says when there will be room.
+    /// Admits and charges a request, or returns when there is room.
     ///
     /// ```
     /// use std::time::Duration;
@@ -167,7 +171,7 @@
         Err(Rejection { retry_after, available: bucket.available(), rate: bucket.rate() })
     }
 
-    /// Counts what runs once more, whether or not it is left.
+    /// Charges units that run again, whether or not they are available.
     pub fn charge(&mut self, now: Time, workspace: &str, units: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.charge(units as f64);
@@ -176,7 +180,7 @@
         *counter = Counter { units: counter.units.saturating_add(units), changed_at: now };
     }
 
-    /// Gives back what was counted and did not run.
+    /// Refunds units that were charged and not used.
     pub fn refund(&mut self, now: Time, workspace: &str, units: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.charge(-(units as f64));
@@ -186,7 +190,7 @@
         }
     }
 
-    /// What this daemon used lately, as other daemons are told.
+    /// Returns this daemon's recent usage, as reported to other daemons.
     pub fn recent_usage(&self, now: Time) -> Vec<Usage> {
         let recent = self
             .local_usage
@@ -199,7 +203,7 @@
         used.collect()
     }
 
-    /// Takes over what another daemon says that it used; `quota` tells what a workspace may have.
+    /// Merges the usage that another daemon reports; `quota` returns a workspace's quota.
     pub fn merge_usage(
         &mut self,
         now: Time,
@@ -226,12 +230,12 @@
         }
     }
 
-    /// Units that are left of a workspace's quota to this daemon, where it was used lately.
+    /// Returns the units of a workspace's quota available to this daemon, if it was used lately.
     pub fn available(&self, workspace: &str) -> Option<f64> {
         self.buckets.get(workspace).map(Bucket::available)
     }
 
-    /// Workspaces that used their quota lately.
+    /// Returns the workspaces that used their quota lately.
     pub fn workspaces(&self) -> impl Iterator<Item = &str> {
         self.buckets.keys().map(String::as_str)
     }
