--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn expire_takes_what_is_due() {
+fn expire_removes_due_requests() {
     let mut queue = Queue::default();
     for number in 1..=5 {
         queue.push(entry(number, Priority::Normal, "w", 1), 10).expect("room");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn budget_is_a_tenth() {
+fn try_withdraw_a_tenth_of_requests() {
     let mut budget = Budget::default();
     while budget.try_withdraw() {}
     for _ in 0..100 {
--- a/src/poison/tests.rs
+++ b/src/poison/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn record_interruption_same_end_told_twice_counts_once() {
+fn record_interruption_same_crash_reported_twice_counts_once() {
     let mut state = State::default();
     for at in 0..10 {
         assert!(!state.record_interruption(ms(1_000 + at), interruption(FATAL, 1)));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn record_interruption_long_runs_while_servers_end_often_is_chance() {
+fn record_interruption_long_runs_while_servers_crash_often_is_chance() {
     let mut state = State::default();
     for server in 0..30 {
         let other =
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn record_interruption_long_runs_in_a_small_pool_are_blocked_at_the_sixth_end() {
+fn record_interruption_long_runs_in_a_small_pool_are_blocked_at_the_sixth_crash() {
     let mut state = State::default();
     let blocked = (1..=6).map(|server| {
         let long = Interruption { run_time: ms(2_000), servers: 3, ..interruption(FATAL, server) };
@@ -64,17 +64,17 @@
 /// which ended within 10 ms, 2 ms after each try; as the only ends of that time they made the rate of ends by which
 /// they were judged, so that a request without a part in them passed for likely enough to be there (5e-5).
 #[test]
-fn record_interruption_in_a_row_in_a_small_pool_is_blocked_at_the_third_end() {
+fn record_interruption_in_a_row_in_a_small_pool_is_blocked_at_the_third_crash() {
     let mut state = State::default();
     let blocked = [309, 312, 316].map(|at| {
-        let young = Interruption { run_time: ms(2), servers: 5, ..interruption(FATAL, at) };
-        state.record_interruption(ms(at), young)
+        let short = Interruption { run_time: ms(2), servers: 5, ..interruption(FATAL, at) };
+        state.record_interruption(ms(at), short)
     });
     assert_eq!(blocked, [false, false, true]);
 }
 
 #[test]
-fn evidence_tells_for_what_a_request_is_blocked_where_that_was_found() {
+fn evidence_only_where_the_daemon_decided_on_the_block() {
     let mut state = State::default();
     for (server, at) in [(1, 1_000), (2, 1_500), (3, 2_000)] {
         assert_eq!(state.evidence(FATAL), None);
@@ -90,7 +90,7 @@
 /// One of 1,597 requests was at four of five ends of 18 engines that ended by themselves, 160 ms to 1.94 s after it
 /// had been sent there. That is unlikely of it (1e-5), but not of some one of all that broke there.
 #[test]
-fn record_interruption_one_of_a_crowd_is_at_several_ends_by_chance() {
+fn record_interruption_one_of_many_is_at_several_crashes_by_chance() {
     for (beside, is_blocked) in [(0, true), (10, false)] {
         let mut state = State::default();
         state.record_interruption(ms(21_000), interruption(FATAL, 9));
@@ -120,7 +120,7 @@
 /// ffffffffffffffff ends 5 rans [90ms, 90ms, 100ms, 90ms, 100ms] shared 3
 /// ```
 #[test]
-fn record_interruption_at_many_ends_that_others_explain_better_is_not_blocked() {
+fn record_interruption_at_many_crashes_that_others_explain_better_is_not_blocked() {
     let mut state = State::default();
     let ends = [
         (3, 4_110, Some(90)),
@@ -162,7 +162,7 @@
 ///    rival ends 2 shared 2 rans [1020, 720]
 /// ```
 #[test]
-fn record_interruption_beside_rivals_that_had_been_there_for_seconds_is_blocked_before_the_bound() {
+fn record_interruption_beside_rivals_with_long_runs_is_blocked_before_the_crash_limit() {
     let mut state = State::default();
     let rivals = [[Some(1_100), Some(120), Some(580)], [None, Some(1_020), Some(720)]];
     let ends = [(440, 80), (560, 120), (920, 120), (1_340, 120)].into_iter().enumerate();
@@ -196,7 +196,7 @@
 ///    fffffffffffffffe ends 2 shared 2 rans [100, 90] expected 3.02e-3
 /// ```
 #[test]
-fn record_interruption_as_young_as_all_that_broke_there_is_no_evidence() {
+fn record_interruption_run_as_short_as_all_others_is_no_evidence() {
     let mut state = State::default();
     let ends = [
         (4_100, 70, 5, Some(90)),
@@ -230,14 +230,14 @@
 /// 6 ends rans [540, 2790, 770, 3600, 520, 180] of 19 ends, 210 requests, expected 3.53e-2
 /// ```
 #[test]
-fn record_interruption_at_six_ends_of_many_is_chance_where_others_were_answered() {
-    assert_eq!(blocked_at_six_ends_of_many(true), [false; 6]);
+fn record_interruption_at_six_crashes_of_many_is_chance_where_others_were_answered() {
+    assert_eq!(blocked_at_six_crashes_of_many(true), [false; 6]);
     let bound = [false, false, false, false, false, true];
-    assert_eq!(blocked_at_six_ends_of_many(false), bound, "any of them may end servers");
+    assert_eq!(blocked_at_six_crashes_of_many(false), bound, "any of them may end servers");
 }
 
 /// Whether a request is blocked at each of its ends, while servers end without it too.
-fn blocked_at_six_ends_of_many(others_are_answered: bool) -> Vec<bool> {
+fn blocked_at_six_crashes_of_many(others_are_answered: bool) -> Vec<bool> {
     let mut state = State::default();
     let beside = [
         (7_600, 180),
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn record_interruption_with_a_rival_waits_for_an_end_that_tells_them_apart() {
+fn record_interruption_with_a_rival_waits_for_a_crash_that_distinguishes_them() {
     let mut state = State::default();
     for (server, at) in [(1, 1_000), (2, 2_000)] {
         state.record_interruption(ms(at), interruption(BYSTANDER, server));
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn clear_suspect_rival_leaves_the_cause() {
+fn clear_suspect_rival_blocks_the_cause() {
     let mut state = State::default();
     for (server, at) in [(1, 1_000), (2, 2_000)] {
         state.record_interruption(ms(at), interruption(BYSTANDER, server));
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn record_interruption_at_an_explained_end_counts_for_nobody() {
+fn record_interruption_at_an_explained_crash_counts_for_no_request() {
     let mut state = State::default();
     state.block(ms(0), FATAL);
     for server in 1..=5 {
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn record_interruption_server_without_starts_may_end_several_times() {
+fn record_interruption_server_without_starts_may_crash_several_times() {
     let mut state = State::default();
     let same = |at: u64| {
         let incarnation = Incarnation { server: 1, start: None };
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn expire_forgets_ends_and_lets_blocks_go() {
+fn expire_removes_old_crashes_and_blocks() {
     let mut state = State::default();
     state.record_interruption(ms(0), interruption(BYSTANDER, 1));
     state.block(ms(0), FATAL);
@@ -342,42 +342,42 @@
 }
 
 #[test]
-fn merge_block_longest_age_holds() {
+fn merge_block_greatest_age_wins() {
     let mut state = State::default();
-    let told = |age| Blocked { fingerprint: FATAL, age };
-    assert!(state.merge_block(ms(1_000), told(BLOCK_DURATION / 2)));
-    assert!(!state.merge_block(ms(2_000), told(ms(0))), "it is known");
+    let remote_block = |age| Blocked { fingerprint: FATAL, age };
+    assert!(state.merge_block(ms(1_000), remote_block(BLOCK_DURATION / 2)));
+    assert!(!state.merge_block(ms(2_000), remote_block(ms(0))), "it is known");
     assert_eq!(state.block_remaining(ms(2_000), FATAL), BLOCK_DURATION / 2 - ms(1_000));
-    assert!(!state.merge_block(ms(2_000), told(BLOCK_DURATION - ms(10))));
-    assert_eq!(state.unstored_blocks(ms(2_005)), [told(BLOCK_DURATION - ms(5))]);
+    assert!(!state.merge_block(ms(2_000), remote_block(BLOCK_DURATION - ms(10))));
+    assert_eq!(state.unstored_blocks(ms(2_005)), [remote_block(BLOCK_DURATION - ms(5))]);
     assert_eq!(state.expire(ms(2_010)), [FATAL]);
-    assert!(!state.merge_block(ms(2_020), told(BLOCK_DURATION)), "it has lapsed");
+    assert!(!state.merge_block(ms(2_020), remote_block(BLOCK_DURATION)), "it has lapsed");
 }
 
 #[test]
-fn lift_holds_against_peers_but_not_the_store_or_new_ends() {
+fn lift_overrides_peers_but_not_the_store_or_new_crashes() {
     let hour = Duration::from_secs(3_600);
-    let told = Blocked { fingerprint: FATAL, age: ms(100) };
+    let remote_block = Blocked { fingerprint: FATAL, age: ms(100) };
     let lifted = || {
         let mut state = State::default();
-        assert!(state.add_stored_block(ms(0), told));
+        assert!(state.add_stored_block(ms(0), remote_block));
         assert!(state.lift(ms(1_000), FATAL));
-        assert!(!state.merge_block(ms(2_000), told) && !state.is_blocked(FATAL));
+        assert!(!state.merge_block(ms(2_000), remote_block) && !state.is_blocked(FATAL));
         assert_eq!(state.due_writes(ms(2_000), ms(1)), []);
         state
     };
-    assert!(lifted().add_stored_block(ms(3_000), told));
+    assert!(lifted().add_stored_block(ms(3_000), remote_block));
     assert!(lifted().block(ms(3_000), FATAL));
     let mut state = lifted();
     assert!(!state.lift(ms(3_000), FATAL));
     state.expire(hour);
-    assert!(!state.merge_block(hour, told), "peers may be as late");
+    assert!(!state.merge_block(hour, remote_block), "peers may be as late");
     state.expire(hour + ms(3_000));
-    assert!(state.merge_block(hour + ms(3_000), told));
+    assert!(state.merge_block(hour + ms(3_000), remote_block));
 }
 
 #[test]
-fn expire_bounds_what_is_remembered() {
+fn expire_bounds_the_kept_crashes() {
     let mut state = State::default();
     for server in 0..5_000 {
         state.record_interruption(ms(server), interruption(Fingerprint(server), server));
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn record_disconnect_server_found_closed_twice_has_ended() {
+fn record_disconnect_port_closed_twice_is_a_crash() {
     let mut detector = Detector::default();
     let endpoint = endpoint(Some(1));
     assert_eq!(detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL)).probes.len(), 1);
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn record_disconnect_server_that_answers_later_requests_lives() {
+fn record_disconnect_server_that_answers_later_requests_is_alive() {
     let mut detector = Detector::default();
     let endpoint = endpoint(Some(1));
     detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL));
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn record_disconnect_server_that_listens_is_told_ended_by_its_registration_alone() {
+fn record_disconnect_open_port_crash_is_confirmed_by_registration_only() {
     for answer in [Answer::Accepted, Answer::Silent] {
         let mut detector = Detector::default();
         let endpoint = endpoint(Some(1));
@@ -446,7 +446,7 @@
 }
 
 #[test]
-fn record_disconnect_server_that_still_listens_while_it_ends_is_looked_at_again() {
+fn record_disconnect_port_open_during_a_crash_is_probed_again() {
     let mut detector = Detector::default();
     let endpoint = endpoint(Some(1));
     detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL));
@@ -467,20 +467,21 @@
 }
 
 #[test]
-fn record_disconnect_server_that_listens_on_is_looked_at_a_few_times() {
+fn record_disconnect_port_that_stays_open_is_probed_a_few_times() {
     let mut detector = Detector::default();
     let endpoint = endpoint(Some(1));
-    let mut looks = detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL)).probes.len();
+    let mut probes =
+        detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL)).probes.len();
     for at in (1_001..5_000).step_by(20) {
         detector.record_probe(ms(at), endpoint.incarnation, Answer::Accepted);
-        looks += detector.due_probes(ms(at + 10)).len();
+        probes += detector.due_probes(ms(at + 10)).len();
     }
-    assert!((2..=6).contains(&looks), "{looks}");
+    assert!((2..=6).contains(&probes), "{probes}");
     assert!(!detector.has_probe_due());
 }
 
 #[test]
-fn record_disconnect_server_that_is_gone_much_later_ended_for_another_reason() {
+fn record_disconnect_much_later_crash_has_another_cause() {
     let mut detector = Detector::default();
     let endpoint = endpoint(Some(1));
     detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL));
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -19,7 +19,7 @@
 }
 
 /// A state that came into a role long ago.
-fn settled(role: Role) -> State {
+fn settled_state(role: Role) -> State {
     let mut state = State::new(POLICY);
     state.set_role(ms(0), role);
     state
@@ -36,7 +36,7 @@
 }
 
 /// Units of the window that has most.
-fn worst(runs: &[(Time, u64)]) -> u64 {
+fn max_window_units(runs: &[(Time, u64)]) -> u64 {
     let window = |first: Time| {
         let within = runs.iter().filter(|(at, _)| (first..first + POLICY.window).contains(at));
         within.map(|(_, units)| units).sum()
@@ -45,31 +45,31 @@
 }
 
 quickcheck! {
-    fn admit_never_more_than_the_quota_in_any_window(asks: Vec<(u8, u16)>) -> bool {
-        let mut state = settled(KEEPER);
+    fn admit_never_more_than_the_quota_in_any_window(demands: Vec<(u8, u16)>) -> bool {
+        let mut state = settled_state(KEEPER);
         let mut now = ms(60_000);
         let mut runs = Vec::new();
-        for (gap, units) in asks.iter().cycle().take(3_000) {
+        for (gap, units) in demands.iter().cycle().take(3_000) {
             now += ms(u64::from(*gap) / 16);
             let units = u64::from(*units);
             if state.admit(now, demand(QUOTA, units)).is_ok() {
                 runs.push((now, units));
             }
         }
-        worst(&runs) as f64 <= QUOTA.max_in_window(POLICY)
+        max_window_units(&runs) as f64 <= QUOTA.max_in_window(POLICY)
     }
 }
 
 #[test]
 fn admit_far_from_the_limit_refuses_nothing() {
-    let mut state = settled(KEEPER);
+    let mut state = settled_state(KEEPER);
     for step in 0..2_000 {
         assert!(state.admit(ms(60_000 + step * 90), demand(QUOTA, 9_000)).is_ok());
     }
 }
 
 #[test]
-fn admit_after_a_start_knows_of_nothing_before() {
+fn admit_after_a_start_begins_with_an_empty_bucket() {
     let mut state = State::new(POLICY);
     state.set_role(ms(0), KEEPER);
     assert_eq!(admit(&mut state, ms(0), QUOTA, 1_000), 0);
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn admit_by_two_keepers_that_share_what_is_lent_is_one_quota() {
+fn admit_by_two_keepers_with_half_the_rate_each_is_one_quota() {
     let half = Role::Keeper { lent: 0.5, is_new: false };
-    let mut keepers = [settled(half), settled(half)];
+    let mut keepers = [settled_state(half), settled_state(half)];
     let mut runs = Vec::new();
     for step in 0..1_000 {
         let now = ms(60_000 + step * 20);
@@ -91,40 +91,44 @@
             }
         }
     }
-    assert!(worst(&runs) as f64 <= QUOTA.max_in_window(POLICY), "{}", worst(&runs));
+    assert!(
+        max_window_units(&runs) as f64 <= QUOTA.max_in_window(POLICY),
+        "{}",
+        max_window_units(&runs)
+    );
 }
 
 #[test]
-fn admit_by_a_daemon_that_stood_still_is_not_filled_for_it() {
-    let mut state = settled(KEEPER);
+fn admit_after_a_freeze_is_not_refilled_for_it() {
+    let mut state = settled_state(KEEPER);
     let first = admit(&mut state, ms(60_000), QUOTA, 1_000);
-    let thawed = admit(&mut state, ms(64_000), QUOTA, 1_000);
-    assert!(thawed < first / 2, "{thawed} after {first}");
+    let after_freeze = admit(&mut state, ms(64_000), QUOTA, 1_000);
+    assert!(after_freeze < first / 2, "{after_freeze} after {first}");
 }
 
 #[test]
-fn admit_by_others_together_is_a_part() {
-    let mut state = settled(Role::Other { daemons: 78 });
+fn admit_by_all_other_daemons_is_a_part() {
+    let mut state = settled_state(Role::Other { daemons: 78 });
     let alone = admit(&mut state, ms(60_000), QUOTA, 1);
     assert!(78 * alone as u32 as u64 <= QUOTA.capacity(POLICY) as u64 / 8, "{alone}");
 }
 
 #[test]
-fn admit_counts_what_others_used_once() {
-    let mut state = settled(KEEPER);
+fn admit_counts_usage_of_others_once() {
+    let mut state = settled_state(KEEPER);
     let quota = |_: &str| Some(QUOTA);
     let now = ms(60_000);
-    let whole = QUOTA.capacity(POLICY) as u64;
+    let capacity = QUOTA.capacity(POLICY) as u64;
     for told in [40_000, 60_000, 60_000] {
         state.merge_usage(now, "router-2", 7, &usage(told), quota);
     }
     let left = admit(&mut state, now, QUOTA, 1_000);
-    assert_eq!(left / 1_000, (whole - 60_000) / 1_000);
+    assert_eq!(left / 1_000, (capacity - 60_000) / 1_000);
 }
 
 #[test]
-fn admit_counts_each_life_of_a_daemon() {
-    let mut state = settled(KEEPER);
+fn admit_counts_each_incarnation_of_a_daemon() {
+    let mut state = settled_state(KEEPER);
     let quota = |_: &str| Some(QUOTA);
     let now = ms(60_000);
     state.merge_usage(now, "router-2", 7, &usage(50_000), quota);
@@ -134,28 +138,28 @@
 }
 
 #[test]
-fn refund_is_there_again() {
-    let mut state = settled(KEEPER);
+fn refund_is_available_again() {
+    let mut state = settled_state(KEEPER);
     let now = ms(60_000);
-    let whole = admit(&mut state, now, QUOTA, 1_000);
-    state.refund(now, "lab", whole);
-    assert_eq!(admit(&mut state, now, QUOTA, 1_000), whole);
-    assert_eq!(state.recent_usage(now), usage(whole));
+    let admitted = admit(&mut state, now, QUOTA, 1_000);
+    state.refund(now, "lab", admitted);
+    assert_eq!(admit(&mut state, now, QUOTA, 1_000), admitted);
+    assert_eq!(state.recent_usage(now), usage(admitted));
 }
 
 #[test]
-fn charge_of_what_runs_twice_is_owed() {
-    let mut state = settled(KEEPER);
+fn charge_of_repeated_runs_is_a_debt() {
+    let mut state = settled_state(KEEPER);
     let now = ms(60_000);
-    let whole = admit(&mut state, now, QUOTA, 1_000);
+    let admitted = admit(&mut state, now, QUOTA, 1_000);
     state.charge(now, "lab", 1_000_000);
     assert!(state.admit(now + ms(2_000), demand(QUOTA, 1_000)).is_err());
-    assert_eq!(state.recent_usage(now), usage(whole + 1_000_000));
+    assert_eq!(state.recent_usage(now), usage(admitted + 1_000_000));
 }
 
 #[test]
-fn admit_under_a_lowered_quota_holds_it_from_then_on() {
-    let mut state = settled(KEEPER);
+fn admit_under_a_lowered_quota_applies_it_from_then_on() {
+    let mut state = settled_state(KEEPER);
     let lower = Quota { rate: 20_000, ..QUOTA };
     let mut runs = Vec::new();
     for step in 0..2_000 {
@@ -165,12 +169,12 @@
             runs.push((now, 4_000));
         }
     }
-    assert!(worst(&runs) as f64 <= lower.max_in_window(POLICY));
+    assert!(max_window_units(&runs) as f64 <= lower.max_in_window(POLICY));
 }
 
 #[test]
-fn admit_callers_that_come_back_before_newcomers() {
-    let mut state = settled(KEEPER);
+fn admit_callers_with_reservations_first() {
+    let mut state = settled_state(KEEPER);
     let now = ms(60_000);
     admit(&mut state, now, QUOTA, 1_000);
     let rejection = state.admit(now, demand(QUOTA, 30_000)).expect_err("nothing is left");
@@ -182,20 +186,20 @@
 }
 
 #[test]
-fn admit_promises_nothing_that_would_be_late() {
-    let mut state = settled(KEEPER);
+fn admit_reserves_nothing_that_would_be_late() {
+    let mut state = settled_state(KEEPER);
     let now = ms(60_000);
     admit(&mut state, now, QUOTA, 1_000);
     let refused =
         (0..9).map(|_| state.admit(now, demand(QUOTA, 9_000)).expect_err("nothing is left"));
-    let promised =
+    let reserved =
         refused.filter(|rejection| rejection.retry_after.is_some()).count() as u64 * 9_000;
-    assert!(promised > 0 && promised <= QUOTA.steady_rate(POLICY) as u64 * 3 / 10, "{promised}");
+    assert!(reserved > 0 && reserved <= QUOTA.steady_rate(POLICY) as u64 * 3 / 10, "{reserved}");
 }
 
 #[test]
 fn admit_request_larger_than_a_window_allows_is_refused() {
-    let mut state = settled(KEEPER);
+    let mut state = settled_state(KEEPER);
     let now = ms(60_000);
     assert!(state.admit(now, demand(QUOTA, 2_000_000)).is_err());
     // What is more than can be saved up, and within the quota, waits until all is saved.
@@ -203,8 +207,8 @@
 }
 
 #[test]
-fn set_role_forgets_workspaces_that_have_all_left() {
-    let mut state = settled(KEEPER);
+fn set_role_removes_full_buckets() {
+    let mut state = settled_state(KEEPER);
     assert!(state.admit(ms(60_000), demand(QUOTA, 1_000)).is_ok());
     assert_eq!(state.workspaces().count(), 1);
     state.set_role(ms(60_100), KEEPER);
