--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! The queue: classes, shares, bounds, deadlines.
+//! Tests of the queue (classes, shares, limits, deadlines) and of the retry budget.
 
 use quickcheck::quickcheck;
 
@@ -29,7 +29,9 @@
     for (number, priority) in
         [Priority::Background, Priority::Normal, Priority::Urgent].into_iter().enumerate()
     {
-        queue.push(entry(number as u64, priority, "w", 1), 10).expect("there is room");
+        queue
+            .push(entry(number as u64, priority, "w", 1), 10)
+            .expect("the queue is below its limit");
     }
     let order: Vec<u64> =
         std::iter::from_fn(|| dequeue_next(&mut queue)).map(|e| e.request.0).collect();
@@ -39,8 +41,8 @@
 #[test]
 fn push_full_displaces_lower_class_only() {
     let mut queue = Queue::default();
-    queue.push(entry(1, Priority::Background, "w", 1), 2).expect("there is room");
-    queue.push(entry(2, Priority::Normal, "w", 1), 2).expect("there is room");
+    queue.push(entry(1, Priority::Background, "w", 1), 2).expect("the queue is below its limit");
+    queue.push(entry(2, Priority::Normal, "w", 1), 2).expect("the queue is below its limit");
     assert_eq!(queue.push(entry(3, Priority::Normal, "w", 1), 2), Ok(Some(Key(1))));
     assert_eq!(queue.push(entry(4, Priority::Normal, "w", 1), 2), Err(Full));
     assert_eq!(queue.len(), 2);
@@ -51,7 +53,9 @@
     let mut queue = Queue::default();
     for number in 0..300 {
         let (workspace, share) = if number % 2 == 0 { ("big", 3) } else { ("small", 1) };
-        queue.push(entry(number, Priority::Normal, workspace, share), 1_000).expect("room");
+        queue
+            .push(entry(number, Priority::Normal, workspace, share), 1_000)
+            .expect("the queue is below its limit");
     }
     let served: Vec<String> =
         (0..80).filter_map(|_| dequeue_next(&mut queue)).map(|e| e.workspace).collect();
@@ -63,13 +67,17 @@
 fn dequeue_no_credit_for_idle_workspace() {
     let mut queue = Queue::default();
     for number in 0..100 {
-        queue.push(entry(number, Priority::Normal, "busy", 1), 1_000).expect("room");
+        queue
+            .push(entry(number, Priority::Normal, "busy", 1), 1_000)
+            .expect("the queue is below its limit");
     }
     for _ in 0..50 {
         dequeue_next(&mut queue);
     }
     for number in 100..150 {
-        queue.push(entry(number, Priority::Normal, "late", 1), 1_000).expect("room");
+        queue
+            .push(entry(number, Priority::Normal, "late", 1), 1_000)
+            .expect("the queue is below its limit");
     }
     let served: Vec<String> =
         (0..20).filter_map(|_| dequeue_next(&mut queue)).map(|e| e.workspace).collect();
@@ -81,10 +89,14 @@
 fn dequeue_retry_before_new() {
     let mut queue = Queue::default();
     for number in 0..5 {
-        queue.push(entry(number, Priority::Normal, "w", 1), 10).expect("room");
+        queue
+            .push(entry(number, Priority::Normal, "w", 1), 10)
+            .expect("the queue is below its limit");
     }
     dequeue_next(&mut queue);
-    queue.push(Entry { is_retry: true, ..entry(9, Priority::Normal, "w", 1) }, 10).expect("room");
+    queue
+        .push(Entry { is_retry: true, ..entry(9, Priority::Normal, "w", 1) }, 10)
+        .expect("the queue is below its limit");
     assert_eq!(dequeue_next(&mut queue).map(|e| e.request), Some(Key(9)));
 }
 
@@ -92,7 +104,9 @@
 fn expire_removes_due_requests() {
     let mut queue = Queue::default();
     for number in 1..=5 {
-        queue.push(entry(number, Priority::Normal, "w", 1), 10).expect("room");
+        queue
+            .push(entry(number, Priority::Normal, "w", 1), 10)
+            .expect("the queue is below its limit");
     }
     assert_eq!(queue.expire(Duration::from_secs(3)), [Key(1), Key(2), Key(3)]);
     assert_eq!(queue.len(), 2);
--- a/src/poison/tests.rs
+++ b/src/poison/tests.rs
@@ -1,4 +1,4 @@
-//! Ends of servers and who was there, by messages alone.
+//! Tests of crash attribution and detection through messages alone.
 
 use std::net::SocketAddr;
 
@@ -45,7 +45,10 @@
     }
     for (server, at) in [(3, 2_500), (9, 5_500), (15, 8_500)] {
         let beside = Interruption { run_time: ms(2_000), ..interruption(BYSTANDER, server) };
-        assert!(!state.record_interruption(ms(at), beside), "it is as likely there as anywhere");
+        assert!(
+            !state.record_interruption(ms(at), beside),
+            "its presence is as likely as anywhere"
+        );
     }
 }
 
@@ -60,9 +63,10 @@
     assert_eq!(blocked, [false, false, false, false, false, true]);
 }
 
-/// A completion ended four engines of five where it is to be blocked at three. The daemon tried it at once at three,
-/// which ended within 10 ms, 2 ms after each try; as the only ends of that time they made the rate of ends by which
-/// they were judged, so that a request without a part in them passed for likely enough to be there (5e-5).
+/// A completion crashed four engines of five instead of being blocked at three. The daemon retried
+/// it at once at three, which crashed within 10 ms, 2 ms after each attempt. As the only crashes of
+/// that time they set the crash rate against which they were judged, so an unrelated request passed
+/// for likely enough to be present (5e-5).
 #[test]
 fn record_interruption_in_a_row_in_a_small_pool_is_blocked_at_the_third_crash() {
     let mut state = State::default();
@@ -80,15 +84,16 @@
         assert_eq!(state.evidence(FATAL), None);
         state.record_interruption(ms(at), interruption(FATAL, server));
     }
-    let evidence = state.evidence(FATAL).expect("it is blocked");
+    let evidence = state.evidence(FATAL).expect("the request is blocked");
     assert_eq!(evidence.crashes, 3);
     assert!(evidence.expected > 0.0 && evidence.expected <= 1e-4, "{evidence:?}");
     state.merge_block(ms(3_000), Blocked { fingerprint: BYSTANDER, age: ms(0) });
     assert_eq!(state.evidence(BYSTANDER), None);
 }
 
-/// One of 1,597 requests was at four of five ends of 18 engines that ended by themselves, 160 ms to 1.94 s after it
-/// had been sent there. That is unlikely of it (1e-5), but not of some one of all that broke there.
+/// One of 1,597 requests was present at four of five spontaneous crashes of 18 engines, 160 ms to
+/// 1.94 s after it had been sent there. That is unlikely for one given request (1e-5), but not for
+/// any one of all that were interrupted.
 #[test]
 fn record_interruption_one_of_many_is_at_several_crashes_by_chance() {
     for (beside, is_blocked) in [(0, true), (10, false)] {
@@ -108,12 +113,13 @@
                 Interruption { run_time: ms(ran), ..interruption(BYSTANDER, server) },
             )
         });
-        assert_eq!(blocked.contains(&true), is_blocked, "{beside} beside it at each end");
+        assert_eq!(blocked.contains(&true), is_blocked, "{beside} beside it at each crash");
     }
 }
 
-/// Three requests ended 24 engines of 18 places. One that shared their prompts met them at six ends within three
-/// seconds and was blocked, though at each end one of them was too that had come some 90 ms before.
+/// Three requests caused 24 crashes in a pool of 18 engines. Another request with the same prompts
+/// was present at six of the crashes within three seconds and was blocked, although one of the
+/// three, which had arrived some 90 ms before, was present at each of them too.
 ///
 /// ```text
 /// 3 ends 6 rans [90ms, 260ms, 720ms, 240ms, 80ms, 850ms]
@@ -153,8 +159,9 @@
     }
 }
 
-/// In a pool of nine each of some twenty requests that an engine's end breaks meets the culprit again at one of its next
-/// ends or two, so every end of it but some was another's too, and six engines ended.
+/// In a pool of nine, each of some twenty requests that a crash interrupts meets the cause again at
+/// one or two of its next crashes. So almost every crash of the cause had another suspect, and six
+/// engines crashed.
 ///
 /// ```text
 /// 4 ends rans [120, 80, 120, 120] expected 6.38e-6
@@ -188,8 +195,9 @@
     assert!(!state.is_blocked(Fingerprint(100)) && !state.is_blocked(Fingerprint(101)));
 }
 
-/// Three culprits came while all that ran had just begun, so one that only met them at their ends had been there for as
-/// short a time as they. Its short runs tell nothing where all are as short.
+/// Three harmful requests arrived while all running requests had just begun, so a request that
+/// merely met them at their crashes had run for as short a time as they. Short runs are no evidence
+/// where all are as short.
 ///
 /// ```text
 /// 4 ends rans [100, 120, 80, 70] expected 2.05e-7
@@ -223,8 +231,8 @@
     }
 }
 
-/// Before 18 engines that ended by themselves twice a second a request was at six of 19 ends and was blocked for the
-/// number, though one such was to be expected.
+/// With 18 engines that crashed spontaneously twice a second, a request was present at six of 19
+/// crashes and was blocked for that number, though one such request was expected.
 ///
 /// ```text
 /// 6 ends rans [540, 2790, 770, 3600, 520, 180] of 19 ends, 210 requests, expected 3.53e-2
@@ -233,10 +241,11 @@
 fn record_interruption_at_six_crashes_of_many_is_chance_where_others_were_answered() {
     assert_eq!(blocked_at_six_crashes_of_many(true), [false; 6]);
     let bound = [false, false, false, false, false, true];
-    assert_eq!(blocked_at_six_crashes_of_many(false), bound, "any of them may end servers");
+    assert_eq!(blocked_at_six_crashes_of_many(false), bound, "any of them may be the cause");
 }
 
-/// Whether a request is blocked at each of its ends, while servers end without it too.
+/// Returns whether a request is blocked at each of its crashes, while servers also crash without
+/// it.
 fn blocked_at_six_crashes_of_many(others_are_answered: bool) -> Vec<bool> {
     let mut state = State::default();
     let beside = [
@@ -283,13 +292,13 @@
     }
     assert!(
         !state.record_interruption(ms(3_000), interruption(FATAL, 3)),
-        "two of three ends may be the other's"
+        "two of three crashes may have the other cause"
     );
     assert!(!state.record_interruption(ms(4_000), interruption(FATAL, 4)));
     assert!(state.record_interruption(ms(5_000), interruption(FATAL, 5)));
     assert!(
         !state.is_blocked(BYSTANDER) && !state.reaches_block_threshold(BYSTANDER, 2),
-        "its ends are explained"
+        "its crashes are explained"
     );
 }
 
@@ -346,12 +355,12 @@
     let mut state = State::default();
     let remote_block = |age| Blocked { fingerprint: FATAL, age };
     assert!(state.merge_block(ms(1_000), remote_block(BLOCK_DURATION / 2)));
-    assert!(!state.merge_block(ms(2_000), remote_block(ms(0))), "it is known");
+    assert!(!state.merge_block(ms(2_000), remote_block(ms(0))), "the block is already known");
     assert_eq!(state.block_remaining(ms(2_000), FATAL), BLOCK_DURATION / 2 - ms(1_000));
     assert!(!state.merge_block(ms(2_000), remote_block(BLOCK_DURATION - ms(10))));
     assert_eq!(state.unstored_blocks(ms(2_005)), [remote_block(BLOCK_DURATION - ms(5))]);
     assert_eq!(state.expire(ms(2_010)), [FATAL]);
-    assert!(!state.merge_block(ms(2_020), remote_block(BLOCK_DURATION)), "it has lapsed");
+    assert!(!state.merge_block(ms(2_020), remote_block(BLOCK_DURATION)), "the block has expired");
 }
 
 #[test]
@@ -371,7 +380,7 @@
     let mut state = lifted();
     assert!(!state.lift(ms(3_000), FATAL));
     state.expire(hour);
-    assert!(!state.merge_block(hour, remote_block), "peers may be as late");
+    assert!(!state.merge_block(hour, remote_block), "peers may still announce it");
     state.expire(hour + ms(3_000));
     assert!(state.merge_block(hour + ms(3_000), remote_block));
 }
@@ -387,7 +396,7 @@
     assert_eq!(left.len(), 2_048);
     assert!(
         left.iter().all(|interruption| interruption.fingerprint.0 >= 5_000 - 2_048),
-        "the newest are kept"
+        "only the newest are kept"
     );
 }
 
@@ -411,7 +420,7 @@
     assert_eq!(interruptions.len(), 2);
     assert_eq!(interruptions[0].age, ms(81));
     let late = detector.record_disconnect(ms(1_100), endpoint, disconnect(Fingerprint(3)));
-    assert_eq!(late.interruptions.len(), 1, "what breaks later broke there too");
+    assert_eq!(late.interruptions.len(), 1, "a later disconnect belongs to the same crash");
 }
 
 #[test]
@@ -420,7 +429,7 @@
     let endpoint = endpoint(Some(1));
     detector.record_disconnect(ms(1_000), endpoint, disconnect(FATAL));
     detector.record_response(ms(1_020), endpoint.incarnation);
-    assert_eq!(detector.possible_crashes(ms(1_030), FATAL), 1, "that answer was on its way");
+    assert_eq!(detector.possible_crashes(ms(1_030), FATAL), 1, "that response was in flight");
     detector.record_response(ms(1_200), endpoint.incarnation);
     assert_eq!(detector.possible_crashes(ms(1_200), FATAL), 0);
     assert_eq!(
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! What one daemon lets in, by messages alone.
+//! Tests of a daemon's admissions through messages alone.
 
 use quickcheck::quickcheck;
 
@@ -18,7 +18,7 @@
     Demand { workspace: "lab", quota, units, has_reservation: false, max_wait: ms(300) }
 }
 
-/// A state that came into a role long ago.
+/// Returns a state that has been in a role for long.
 fn settled_state(role: Role) -> State {
     let mut state = State::new(POLICY);
     state.set_role(ms(0), role);
@@ -29,13 +29,13 @@
     vec![Usage { workspace: "lab".into(), units }]
 }
 
-/// Units that are let in at a time by requests of so many.
+/// Returns the units admitted at once in requests of `units`.
 fn admit(state: &mut State, now: Time, quota: Quota, units: u64) -> u64 {
     let demand = Demand { has_reservation: true, ..demand(quota, units) };
     (0..10_000).take_while(|_| state.admit(now, demand).is_ok()).count() as u64 * units
 }
 
-/// Units of the window that has most.
+/// Returns the units of the fullest window.
 fn max_window_units(runs: &[(Time, u64)]) -> u64 {
     let window = |first: Time| {
         let within = runs.iter().filter(|(at, _)| (first..first + POLICY.window).contains(at));
@@ -177,8 +177,8 @@
     let mut state = settled_state(KEEPER);
     let now = ms(60_000);
     admit(&mut state, now, QUOTA, 1_000);
-    let rejection = state.admit(now, demand(QUOTA, 30_000)).expect_err("nothing is left");
-    let after = rejection.retry_after.expect("there is room soon");
+    let rejection = state.admit(now, demand(QUOTA, 30_000)).expect_err("the bucket is empty");
+    let after = rejection.retry_after.expect("a reservation fits into the max wait");
     assert!(after > ms(100), "{after:?}");
     let later = now + after + ms(20);
     assert!(state.admit(later, demand(QUOTA, 30_000)).is_err());
@@ -191,7 +191,7 @@
     let now = ms(60_000);
     admit(&mut state, now, QUOTA, 1_000);
     let refused =
-        (0..9).map(|_| state.admit(now, demand(QUOTA, 9_000)).expect_err("nothing is left"));
+        (0..9).map(|_| state.admit(now, demand(QUOTA, 9_000)).expect_err("the bucket is empty"));
     let reserved =
         refused.filter(|rejection| rejection.retry_after.is_some()).count() as u64 * 9_000;
     assert!(reserved > 0 && reserved <= QUOTA.steady_rate(POLICY) as u64 * 3 / 10, "{reserved}");
@@ -202,7 +202,7 @@
     let mut state = settled_state(KEEPER);
     let now = ms(60_000);
     assert!(state.admit(now, demand(QUOTA, 2_000_000)).is_err());
-    // What is more than can be saved up, and within the quota, waits until all is saved.
+    // A request larger than the capacity but within the quota waits for a full bucket.
     assert!(state.admit(now, demand(QUOTA, 150_000)).is_ok());
 }
 
