--- a/src/poison/state.rs
+++ b/src/poison/state.rs
@@ -7,7 +7,7 @@
 /// Max crashes at which a request may be present before it is blocked even if chance is not ruled
 /// out. Otherwise a few servers that crash often would never give enough evidence, and a request
 /// that runs for seconds before it crashes its server would continue for long.
-const MAX_UNBLOCKED_CRASHES: usize = 6;
+const CRASH_LIMIT: usize = 6;
 /// Same as [`MAX_EXPECTED`] at that many crashes, where servers are known to crash spontaneously.
 const MAX_EXPECTED_AT_CRASH_LIMIT: f64 = 0.01;
 /// Min crashes without a remaining suspect from which on servers are known to crash spontaneously.
@@ -136,7 +136,7 @@
 
     /// Returns the evidence against a request if it suffices for a block: it was present at so many
     /// crashes, and so briefly before each, that none of the interrupted requests is expected there
-    /// by chance, even if another suspect caused some; or it reached [`MAX_UNBLOCKED_CRASHES`].
+    /// by chance, even if another suspect caused some; or it reached [`CRASH_LIMIT`].
     fn evidence_to_block(&self, fingerprint: Fingerprint) -> Option<Evidence> {
         let suspect = self.suspects.get(&fingerprint)?;
         if suspect.crashes.len() < MIN_CRASHES {
@@ -150,7 +150,7 @@
                 .into_iter()
                 .all(|rival| self.is_distinguishable_from(suspect, baseline, rival));
         let is_enough = is_sure
-            || self.crashes_best_explained_by(fingerprint, suspect) >= MAX_UNBLOCKED_CRASHES
+            || self.crashes_best_explained_by(fingerprint, suspect) >= CRASH_LIMIT
                 && !self.is_likely_coincidence(suspect, baseline);
         is_enough.then_some(Evidence { crashes: suspect.crashes.len(), expected })
     }
@@ -206,7 +206,7 @@
     /// less likely to have been at its own crashes by chance. Otherwise, with several causes at
     /// once, requests that follow them from crash to crash would be blocked.
     fn crashes_best_explained_by(&self, fingerprint: Fingerprint, suspect: &Suspect) -> usize {
-        if suspect.crashes.len() < MAX_UNBLOCKED_CRASHES {
+        if suspect.crashes.len() < CRASH_LIMIT {
             return 0;
         }
         let chance = |suspect: &Suspect| suspect.expected(self.baseline(suspect));
@@ -426,27 +426,27 @@
         !self.suspects.is_empty() && self.reaches_block_threshold(fingerprint, 1)
     }
 
-    /// Keeps only the places for a near-threshold request whose running requests have the fewest
+    /// Keeps only the candidate servers for a near-threshold request whose running requests have the fewest
     /// crashes: a crash beside another suspect would not tell the two apart.
     pub fn avoid_other_suspects<K: Ord, T>(
         &self,
         fingerprint: Fingerprint,
         running: impl Iterator<Item = (Fingerprint, K)>,
-        places: &mut Vec<(K, T)>,
+        candidates: &mut Vec<(K, T)>,
     ) {
         if !self.is_near_block_threshold(fingerprint) {
             return;
         }
         let mut max_crashes: BTreeMap<K, usize> = BTreeMap::new();
         let rivals = running.filter(|(other, _)| *other != fingerprint);
-        for (other, place) in rivals.filter(|(other, _)| self.is_near_block_threshold(*other)) {
-            let max = max_crashes.entry(place).or_insert(0);
+        for (other, candidate) in rivals.filter(|(other, _)| self.is_near_block_threshold(*other)) {
+            let max = max_crashes.entry(candidate).or_insert(0);
             *max = self.crash_count(other).max(*max);
         }
-        let crashes_of = |place: &K| max_crashes.get(place).copied().unwrap_or_default();
+        let crashes_of = |candidate: &K| max_crashes.get(candidate).copied().unwrap_or_default();
         let min_crashes =
-            places.iter().map(|(place, _)| crashes_of(place)).min().unwrap_or_default();
-        places.retain(|(place, _)| crashes_of(place) == min_crashes);
+            candidates.iter().map(|(candidate, _)| crashes_of(candidate)).min().unwrap_or_default();
+        candidates.retain(|(candidate, _)| crashes_of(candidate) == min_crashes);
     }
 
     /// Whether a request was present at enough crashes for a block while chance is not ruled out.
