--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -32,7 +32,7 @@
 
 type Position = (Priority, u64, u64);
 
-/// Fixed-point scale of virtual time, so that small costs over large shares stay apart.
+/// Fixed-point scale of virtual time, so that small costs over large shares remain distinct.
 const VIRTUAL_TIME_SCALE: u64 = 1_000;
 
 /// The waiting requests of one pool.
--- a/src/poison/state.rs
+++ b/src/poison/state.rs
@@ -4,9 +4,9 @@
 use super::{Blocked, Fingerprint, Incarnation, Interruption};
 use crate::prelude::*;
 
-/// Max crashes at which a request may be present before it is blocked even if chance is not ruled
-/// out. Otherwise a few servers that crash often would never give enough evidence, and a request
-/// that runs for seconds before it crashes its server would continue for long.
+/// Crashes at which a request is blocked even if chance is not ruled out. Otherwise a few servers
+/// that crash often would never give enough evidence, and a request that runs for seconds before it
+/// crashes its server would continue for long.
 const CRASH_LIMIT: usize = 6;
 /// Same as [`MAX_EXPECTED`] at that many crashes, where servers are known to crash spontaneously.
 const MAX_EXPECTED_AT_CRASH_LIMIT: f64 = 0.01;
@@ -26,8 +26,8 @@
 /// as the suspect, for its short runs to distinguish it from a rival. Where all had just arrived,
 /// short runs are no evidence.
 const MAX_SHORT_RUN_PROBABILITY: f64 = 0.01;
-/// Min number of requests assumed beside a suspect: where few run, interrupted requests meet again
-/// soon.
+/// Min number of requests that a suspect counts as one of: where few run, interrupted requests meet
+/// again soon.
 const MIN_REQUESTS: usize = 5;
 /// Min crashes of another request for it to be a possible cause of a suspect's crashes.
 const MIN_RIVAL_CRASHES: usize = 2;
@@ -426,8 +426,8 @@
         !self.suspects.is_empty() && self.reaches_block_threshold(fingerprint, 1)
     }
 
-    /// Keeps only the candidate servers for a near-threshold request whose running requests have the fewest
-    /// crashes: a crash beside another suspect would not tell the two apart.
+    /// For a request near the block threshold, keeps the candidate servers whose running requests
+    /// have the fewest crashes: a crash beside another suspect would not tell the two apart.
     pub fn avoid_other_suspects<K: Ord, T>(
         &self,
         fingerprint: Fingerprint,
--- a/src/quota/bucket.rs
+++ b/src/quota/bucket.rs
@@ -59,8 +59,8 @@
         bucket
     }
 
-    /// Returns the level with which a daemon that has run for `uptime` begins a role: the former
-    /// keeper may have spent the rest unreported.
+    /// Returns the initial level of a daemon that begins a role after `uptime`: the former keeper
+    /// may have spent the rest unreported.
     fn initial_level(&self, uptime: Duration, initial_part: f64) -> f64 {
         let filled = self.steady_rate * uptime.as_secs_f64();
         filled.min(self.capacity * initial_part).min(self.max_level())
