--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -198,7 +198,7 @@
             named: self.rollout.own_namings.recent(now, self.policy.weights_limit),
             missed_nothing_for: self.rollout.complete_until.map(|at| now.saturating_sub(at)),
             keeper: self.quota_leadership.name().to_owned(),
-            used: self.quota.used(now),
+            used: self.quota.recent_usage(now),
         }
     }
 
