--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -1,10 +1,11 @@
-//! What waits, in which order it is sent, what is refused, and when that may come back.
+//! Queues requests that no server has room for, sends them by priority, and refuses the rest with a
+//! retry-after time.
 //!
-//! For some seconds a pool may take less than what comes (engines gone or loading, a burst, callers
-//! that ask again at once). What can't be sent within a part of its route's target would be answered
-//! late, and holds up what could be answered in time; so it is refused while its caller can still come
-//! back, and told when, by what drains ahead of it. Callers that come back go before newcomers of their
-//! rank, whichever daemon refused them.
+//! A pool may be overloaded for some seconds (engines gone or loading, a burst, immediate retries).
+//! A request that can't be sent within a part of its route's target would be answered late and
+//! would delay others that can still be answered in time. It is refused while its caller can still
+//! retry, with a retry-after time computed from the queue ahead of it. Retries go before new
+//! requests of the same priority, whichever daemon refused them.
 
 use std::ops::Bound;
 
@@ -16,30 +17,31 @@
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 
-/// Time that a request waits for a server, as a part of its route's target: 1 / this.
+/// Maximum wait for a server: the route's target divided by this.
 const MAX_WAIT_DIVISOR: u32 = 2;
-/// Least time after which a caller may come back: what made its request wait has lasted longer.
+/// Minimum retry-after time: the overload that delayed the request has lasted longer.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Time after which a caller may come back where no server of its pool is open: a load of weights, and
-/// a pause after failures, take about this long.
+/// Retry-after time while no server of the pool accepts work: a load of weights, and a pause after
+/// failures, take about this long.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(600);
-/// Most of its remaining time after which a caller may come back: 1 / this.
+/// Maximum retry-after time: the remaining time of the request divided by this.
 const MAX_RETRY_AFTER_DIVISOR: u32 = 3;
-/// Part by which the time to come back is spread, so that those refused together do not come together.
+/// Jitter of the retry-after time, so that callers refused together do not retry together.
 const RETRY_AFTER_JITTER_RATIO: f64 = 0.25;
-/// Time for which a refused caller is expected back: the longest it is told to stay away, and a second.
+/// Time for which a retry of a refused request is expected: the longest retry-after time plus
+/// one second.
 const REFUSAL_LIFETIME: Duration = Duration::from_millis(4_000);
-/// Least time between two looks at what waits. The scheduler of a large pool sees requests end so fast
-/// that a look at each end would cost it its core.
+/// Minimum time between two passes over the queue. The scheduler of a large pool sees requests end
+/// so fast that a pass at each end would use up its core.
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
-/// Waiting requests that are tried first at a look, and as many after them.
+/// Waiting requests that a pass tries from the head of the queue, and again as many after them.
 const DISPATCH_BATCH: usize = 24;
-/// Waiting requests from which on their pace tells how long one more would wait.
+/// Minimum number of requests ahead for which the queue's throughput predicts the wait.
 const MIN_AHEAD_FOR_ESTIMATE: usize = 8;
-/// Refused callers that are remembered, and told to peers in one digest.
+/// Maximum number of refusals that are remembered, and sent to peers in one digest.
 const MAX_REFUSALS: usize = 256;
 
-/// A waiting request's turn: by rank, callers that come back first, then by age.
+/// Position of a waiting request: by priority, then retries before new requests, then by age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Position {
     priority: u8,
@@ -53,7 +55,7 @@
     }
 }
 
-/// Callers that were refused and are expected back, by what they asked for.
+/// Fingerprints of refused requests that are expected to be retried.
 #[derive(Debug, Default)]
 pub(super) struct Refusals {
     own: BTreeMap<Fingerprint, Time>,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Takes over whom a peer refused.
+    /// Merges the refusals that a peer reported.
     pub(super) fn merge_peer(&mut self, now: Time, refused: &[Fingerprint]) {
         self.trim(now);
         for fingerprint in refused.iter().take(MAX_REFUSALS) {
@@ -76,20 +78,20 @@
         }
     }
 
-    /// Whether a caller with this request was refused lately; it is expected once.
+    /// Whether a request was refused recently. An own refusal counts once.
     pub(super) fn is_retry(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let lately = |at: Option<Time>| at.is_some_and(|at| now < at + REFUSAL_LIFETIME);
         let own = lately(self.own.remove(&fingerprint));
-        // What peers told may be told again, so it is kept until it lapses.
+        // Peers may report a refusal again, so it is kept until it expires.
         own || lately(self.from_peers.get(&fingerprint).copied())
     }
 
-    /// Expects a caller no more: nothing was promised it.
+    /// Removes a refusal that promised the caller nothing.
     pub(super) fn remove(&mut self, fingerprint: Fingerprint) {
         self.own.remove(&fingerprint);
     }
 
-    /// Whom this daemon refused lately.
+    /// The recent refusals of this daemon.
     pub(super) fn own(&self) -> Vec<Fingerprint> {
         self.own.keys().copied().collect()
     }
@@ -125,8 +127,9 @@
         }
     }
 
-    /// Whether a request would be refused after its wait, as far as the pace of those before it tells:
-    /// it is told so at once, and comes back sooner. One that was sent before is not refused for it.
+    /// Whether the throughput of the queue predicts that a request would be refused after its wait.
+    /// It is then refused at once, and its caller retries sooner. This does not apply to a request
+    /// that was sent before.
     fn would_time_out(&self, now: Time, key: Key) -> bool {
         let Some(request) = self.requests.get(&key).filter(|request| request.sends == 0) else {
             return false;
@@ -138,14 +141,14 @@
         expected.is_some_and(|wait| wait > Self::max_wait(request))
     }
 
-    /// Requests to a pool that wait and go before `turn`.
+    /// Counts the waiting requests of a pool before a position.
     fn count_ahead(&self, turn: Position, pool: &str) -> usize {
         let ahead = self.waiting.range(..turn);
         let same = |turn: &&Position| self.requests.get(&turn.key).is_some_and(|r| r.pool == pool);
         ahead.filter(same).count()
     }
 
-    /// Sends waiting requests for which there is room, in turn.
+    /// Sends waiting requests for which there is room, in order.
     pub(super) fn send_waiting(&mut self, now: Time) {
         if self.waiting.is_empty() || now < self.next_pump {
             return;
@@ -169,8 +172,9 @@
         }
     }
 
-    /// What is tried next of what waits: the first in turn, and as many of the others, which go on where
-    /// the last look ended. A server with room may be one that holds nothing of the first ones' prompts.
+    /// The waiting requests to try next: the first in order, and as many of the others, continuing
+    /// where the last pass ended. The prompts of the first ones may have no parts on the server
+    /// that has room.
     fn next_batch(&mut self) -> Vec<Position> {
         let mut turns: Vec<Position> = self.waiting.iter().take(DISPATCH_BATCH).copied().collect();
         let Some(last) = turns.last().copied() else { return turns };
@@ -189,7 +193,7 @@
         keys.iter().any(room)
     }
 
-    /// Refuses what has waited as long as it may.
+    /// Refuses the requests whose maximum wait has passed.
     pub(super) fn expire(&mut self, now: Time) {
         let expired: Vec<Key> = self
             .waiting
@@ -197,7 +201,7 @@
             .map(|turn| turn.key)
             .filter(|key| self.requests.get(key).is_some_and(|r| has_waited_too_long(now, r)))
             .collect();
-        // Those refused together come back in turn, so each counts those before it.
+        // Requests refused together are retried in order, so each counts those before it.
         let expired: Vec<(Key, Duration)> =
             expired.into_iter().map(|key| (key, self.retry_after(now, key))).collect();
         for (key, after) in expired {
@@ -205,8 +209,8 @@
         }
     }
 
-    /// Ends a request that has not run with `code` and the time to come back; one that may have run is
-    /// given up with what is known of its last attempt.
+    /// Refuses a request that has not run with `code` and a retry-after time. A request that may
+    /// have run ends with the outcome of its last attempt.
     pub(super) fn refuse(&mut self, now: Time, key: Key, code: Code) {
         let after = self.retry_after(now, key);
         self.refuse_with_retry_after(now, key, code, after);
@@ -233,21 +237,22 @@
         self.forget(now, key);
     }
 
-    /// When a caller should come back: once what waits ahead of it has been taken by the open servers of
-    /// its pool.
+    /// Retry-after time of a request: the time in which the servers of its pool that accept work
+    /// serve the queue ahead of it.
     fn retry_after(&mut self, now: Time, key: Key) -> Duration {
         let Some(request) = self.requests.get(&key) else { return MIN_RETRY_AFTER };
         let keys = self.pools.get(&request.pool).map(Vec::as_slice).unwrap_or_default();
         let servers = keys.iter().filter_map(|key| Some((*key, self.servers.get(*key)?)));
         let open = servers.filter(|(key, server)| self.accepts_work(now, *key, server));
-        // An engine reads one prompt after another; a plain server works on several at a time.
+        // An engine reads one prompt after another; a plain server runs several requests at once.
         let (each_ms, at_a_time) = match &request.arrival.prompt {
             Some(prompt) => (unshared_ms(prompt), open.count()),
             None => (PLAIN_REQUEST_MS, open.map(|(_, server)| server.entry.slots as usize).sum()),
         };
         let left = Self::max_retry_after(now, request);
         let ahead = self.count_ahead(Position::of(key, request), &request.pool);
-        // At a scheduler everything waits; elsewhere as much is taken to wait at each daemon.
+        // All requests wait at a scheduler; any other daemon assumes an equal queue at each
+        // daemon.
         let daemons = if self.is_scheduler(now) { 1 } else { self.daemons() };
         let work_ms = (ahead + 1) as f64 * daemons as f64 * each_ms;
         let drained = match at_a_time {
@@ -257,26 +262,25 @@
         self.with_jitter(drained).min(left.max(MIN_RETRY_AFTER / 2))
     }
 
-    /// A time to come back, spread so that those refused together do not come together.
+    /// Adds jitter to a retry-after time, so that callers refused together do not retry together.
     pub(super) fn with_jitter(&mut self, after: Duration) -> Duration {
         let spread = 1.0 + RETRY_AFTER_JITTER_RATIO * (self.rng.f64() * 2.0 - 1.0);
         after.max(MIN_RETRY_AFTER).mul_f64(spread)
     }
 
-    /// The longest time for which a request may wait for a server.
+    /// Maximum time for which a request may wait for a server.
     pub(super) fn max_wait(request: &Request) -> Duration {
         request.arrival.route.target / MAX_WAIT_DIVISOR
     }
 
-    /// The longest time for which the caller of a request can be told to stay away.
+    /// Maximum retry-after time of a request.
     pub(super) fn max_retry_after(now: Time, request: &Request) -> Duration {
         request.arrival.deadline.saturating_sub(now) / MAX_RETRY_AFTER_DIVISOR
     }
 }
 
 impl Node {
-    /// Whether a request has waited long enough for a server that holds its parts: half of the time
-    /// that it may wait at all.
+    /// Whether a request has waited for a home for half of its maximum wait.
     pub(super) fn has_waited_for_home(&self, now: Time, request: &Request) -> bool {
         let Phase::Waiting(since) = request.phase else { return false };
         now >= since + Self::max_wait(request) / 2
--- a/src/fleet/drain.rs
+++ b/src/fleet/drain.rs
@@ -1,32 +1,33 @@
-//! How fast what waits is sent.
+//! Measures how fast the queue of a pool is sent.
 
 use crate::prelude::*;
 
-/// Time in which what was sent counts half: a queue's pace changes with each engine that comes or goes.
+/// Half-life of a sent request in the throughput: the rate changes with each engine that joins or
+/// leaves.
 const HALF_LIFE: Duration = Duration::from_millis(400);
 
-/// The pace at which waiting requests of one pool are sent.
+/// The rate at which waiting requests of one pool are sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Throughput {
-    /// Requests a second, at time `at`.
+    /// Requests per second at time `at`.
     per_s: f64,
     at: Time,
-    /// Since when some wait.
+    /// Start of the period in which requests wait.
     waiting_since: Option<Time>,
 }
 
 impl Throughput {
-    /// Notes that a request begins to wait.
+    /// Records that a request starts to wait.
     pub(super) fn note_waiting(&mut self, now: Time) {
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Notes that nothing has waited until now.
+    /// Records that the queue was empty until now.
     pub(super) fn reset(&mut self) {
         self.waiting_since = None;
     }
 
-    /// Notes that a waiting request was sent.
+    /// Records that a waiting request was sent.
     pub(super) fn note_sent(&mut self, now: Time) {
         let gain = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         self.per_s = self.per_s(now) + gain;
@@ -38,8 +39,8 @@
         self.per_s * (-passed / HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    /// How long a request is expected to wait behind `ahead` others; `None` while some have not waited
-    /// long enough to tell.
+    /// Expected wait of a request behind `ahead` others; `None` until requests have waited long
+    /// enough for an estimate.
     pub(super) fn expected_wait(&self, now: Time, ahead: usize) -> Option<Duration> {
         let since = self.waiting_since?;
         if now < since + HALF_LIFE / 2 {
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -1,9 +1,9 @@
-//! Which servers hold the shared parts of a prompt, by every daemon's reckoning.
+//! Assigns the shared parts of prompts to servers, alike on every daemon.
 //!
-//! A few long texts stand at the head of nearly all prompts, and many shorter ones at that of some. A
-//! part belongs to the servers that come first for it in a rendezvous hash over all servers of the pool,
-//! whatever weights they have and however busy they are: what differs between daemons or changes by the
-//! second must not move a home, or the part is read at every place that it moves to.
+//! A few long texts start nearly all prompts, and many shorter ones start some. The homes of a part
+//! are the servers that rank first for it in a rendezvous hash over all servers of the pool,
+//! whatever their weights and load. The choice must not depend on anything that differs between
+//! daemons or changes by the second: a part is read again on each server that it moves to.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -12,38 +12,39 @@
 use crate::prefix;
 use crate::prelude::*;
 
-/// Milliseconds of an engine that a token of an answer takes, where some dozen are made together.
+/// Engine time of an answer token in a batch of some dozen answers.
 const ANSWER_TOKEN_MS: f64 = 0.5;
-/// Milliseconds of work a second that one copy of a part is to carry: a fifth of an engine, so that
-/// those who carry several hot parts still have room.
+/// Work per second that one copy of a part carries: a fifth of an engine, so that the home of
+/// several hot parts still has room.
 const COPY_LOAD_MS_PER_S: f64 = 200.0;
-/// Servers after the homes of a part that stand in, in this order, where a home can't be used.
+/// Maximum number of fallbacks, in hash order after the homes of a part, for homes that are
+/// unavailable.
 const MAX_FALLBACKS: usize = 2;
 
-/// What a server is to the shared parts of one prompt.
+/// The role of a server for the shared parts of one prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
-    /// It is a home of theirs.
+    /// A home of the parts.
     Home,
-    /// It stands in for a home that can't be used now.
+    /// A fallback for a home that is unavailable.
     Fallback,
-    /// Any other.
+    /// Any other server.
     Other,
 }
 
-/// The servers of a prompt's shared parts, the first choice first.
+/// The homes and fallbacks of a prompt's shared parts, in order of preference.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Homes {
-    /// The homes, and those that stand in for them.
+    /// The homes, then the fallbacks.
     ranked: Vec<server::Key>,
-    /// How many of them are homes.
+    /// Number of homes.
     count: usize,
-    /// How many of those that stand in are needed now.
+    /// Number of fallbacks that are needed now.
     fallbacks: usize,
 }
 
 impl Homes {
-    /// A server's place among the homes and those that would stand in for one.
+    /// Position of a server among the homes and fallbacks.
     pub(super) fn rank(&self, server: server::Key) -> Option<usize> {
         self.ranked.iter().position(|key| *key == server)
     }
@@ -58,8 +59,9 @@
 }
 
 impl Node {
-    /// The homes of a prompt's shared parts. Each part narrows the choice that the parts before it
-    /// left, so that servers keep few of the parts that many prompts begin with.
+    /// Computes the homes of a prompt's shared parts. Each part selects among the servers selected
+    /// by the parts before it, so that a server keeps few of the parts that many prompts begin
+    /// with.
     pub(super) fn homes(&self, now: Time, owner: &str, pool: &str, prompt: &Prompt) -> Homes {
         let Some(keys) = self.pools.get(pool) else { return Homes::default() };
         let mut ranked: Vec<(server::Key, &Server)> = keys
@@ -90,13 +92,13 @@
         Homes { ranked: ranked.into_iter().map(|(key, _)| key).collect(), count, fallbacks: shut }
     }
 
-    /// Milliseconds of work a second that all daemons have for a part: this one's, and the hottest of
-    /// each peer's.
+    /// Work per second of all daemons for a part, as far as peers report it among their hottest
+    /// parts.
     fn load_ms_per_s(&self, now: Time, part: u64) -> f64 {
         self.heat.rate(now, prefix::Key(part)) + self.told_heat(now, part)
     }
 
-    /// Notes the work of a request for each part that it shares.
+    /// Records the work of a request for each of its shared parts.
     pub(super) fn note_heat(&mut self, now: Time, owner: &str, prompt: &Prompt) {
         let work_ms = unshared_ms(prompt) + f64::from(prompt.output) * ANSWER_TOKEN_MS;
         for part in shared_parts(&prompt.parts) {
@@ -105,9 +107,9 @@
     }
 }
 
-/// How many of `servers` are to hold a part. A power of two, or all where that is more than half of
-/// them: daemons measure a part's work each for themselves, and homes on which they disagree are read
-/// at twice.
+/// Number of servers that hold a part: a power of two, or all servers if that is more than half of
+/// them. Daemons measure the work of a part independently, and a home on which they disagree is an
+/// additional server that reads the part.
 fn copy_count(work_ms: f64, servers: usize) -> usize {
     let wanted = (work_ms / COPY_LOAD_MS_PER_S).ceil().clamp(1.0, 1e6) as usize;
     let copies = wanted.next_power_of_two();
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -1,10 +1,10 @@
-//! The work of all daemons at a server.
+//! Sums the work of all daemons at a server.
 
 use super::{Busy, Node, Server, server};
 use crate::prelude::*;
 use crate::route::Kind;
 
-/// Work at a server, from peers or from all daemons.
+/// Work at a server, of the peers or of all daemons.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Load {
     pub(super) running: u32,
@@ -12,17 +12,17 @@
     pub(super) loading: bool,
     heard_at: Option<Time>,
     unanswered_since: Option<Time>,
-    /// When the oldest of the peers' words that count came.
+    /// Arrival of the oldest peer report that is included.
     reported_at: Option<Time>,
 }
 
 impl Load {
-    /// When the oldest of the peers' words that count came; `None` where no peer has work there.
+    /// Arrival of the oldest peer report that is included; `None` if no peer has work there.
     pub(super) fn reported_at(&self) -> Option<Time> {
         self.reported_at
     }
 
-    /// Adds what a peer told at time `told`.
+    /// Adds what a peer reported at time `told`.
     pub(super) fn add(&mut self, told: Time, busy: &Busy) {
         let before = |ms: Option<u32>| {
             ms.map(|ms| told.saturating_sub(Duration::from_millis(u64::from(ms))))
@@ -35,7 +35,7 @@
         self.unanswered_since = earlier(self.unanswered_since, before(busy.unanswered_ms));
     }
 
-    /// For how long the server has answered no daemon though some wait for it.
+    /// Time for which the server has answered no daemon although requests wait for it.
     pub(super) fn silence(&self, now: Time) -> Duration {
         let Some(since) = self.unanswered_since else { return Duration::ZERO };
         now.saturating_sub(self.heard_at.map_or(since, |heard| heard.max(since)))
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Whether a server may be given work at all: it is up, stays, and loads no weights.
+    /// Whether a server may receive requests: it is up, is not leaving and loads no weights.
     pub(super) fn accepts_work(&self, now: Time, key: server::Key, server: &Server) -> bool {
         server.is_usable(now) && !self.load(key, server).loading
     }
 
-    /// Whether a server has a place for one more request.
+    /// Whether a server has a slot for one more request.
     pub(super) fn has_room(&self, now: Time, key: server::Key, server: &Server) -> bool {
         self.accepts_work(now, key, server) && self.load(key, server).running < self.slots(server)
     }
--- a/src/fleet/loading.rs
+++ b/src/fleet/loading.rs
@@ -1,38 +1,37 @@
-//! How many engines of a pool load weights at a time.
+//! Limits how many engines of a pool load weights at a time.
 //!
-//! Weights are named for all engines of a pool, which then load them from one source. The more do so at
-//! once, the longer each takes from some number on that nobody tells, and engines that load carry
-//! nothing meanwhile. So the number begins low and grows while loads take no longer than the shortest
-//! ones did.
+//! All engines of a pool load new weights from one source. Beyond an unknown number of concurrent
+//! loads each load slows down, and an engine that loads serves no requests. So the limit starts low
+//! and grows while loads take no longer than the shortest ones did.
 
 use crate::prelude::*;
 
-/// The part of a pool's engines that load at first: few enough for a source that bears few, and enough
-/// for all to be through in six loads.
+/// Initial limit: the engines of a pool divided by this. It suits a source that bears few loads,
+/// and lets all engines finish in six rounds.
 const INITIAL_DIVISOR: usize = 6;
-/// The part of a pool's engines that may load at a time at most: the others must carry the load.
+/// Maximum limit: the engines of a pool divided by this. The others must carry the traffic.
 const MAX_DIVISOR: usize = 4;
-/// By how much longer than the shortest a load may take that others do not slow down.
+/// Duration of a load, relative to the shortest, from which it counts as slowed down by others.
 const SLOWDOWN_RATIO: f64 = 1.3;
-/// By how much the number falls where loads are slowed down.
+/// Factor that reduces the limit when loads slow down.
 const DECREASE_FACTOR: f64 = 0.75;
-/// The part of the limit for weights within which all engines of a pool are to have loaded.
+/// Ratio of the weights limit within which all engines of a pool should have loaded.
 const LIMIT_RATIO: f64 = 0.5;
 
-/// What was seen of the loads of one pool.
+/// Limit on the concurrent loads of one pool, derived from the loads so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Limiter {
-    /// How many may load at a time; `None` until a load was seen.
+    /// Concurrent loads that are allowed; `None` until the first load has ended.
     concurrency: Option<f64>,
-    /// The shortest load.
+    /// Duration of the shortest load.
     shortest: Option<Duration>,
-    /// When the number last fell.
+    /// Time at which the limit was last reduced.
     decreased_at: Time,
 }
 
 impl Limiter {
-    /// How many of `engines` may load at a time, all of them being due within `limit`. If urgent, as many
-    /// as may carry nothing at all.
+    /// Maximum number of `engines` that may load at a time, if all must have loaded within `limit`.
+    /// If `urgent`, this is as many as the pool can spare.
     pub(super) fn max_concurrent(&self, engines: usize, limit: Duration, urgent: bool) -> usize {
         let ceiling = engines.div_ceil(if urgent { MAX_DIVISOR / 2 } else { MAX_DIVISOR }).max(1);
         if urgent {
@@ -47,17 +46,17 @@
         wanted.max(in_time).clamp(1, ceiling)
     }
 
-    /// Takes over that one of `engines` took so long for a load.
+    /// Records that one of `engines` took the time `took` for a load.
     pub(super) fn note_load(&mut self, now: Time, engines: usize, took: Duration) {
         let shortest = self.shortest.map_or(took, |shortest| shortest.min(took));
         self.shortest = Some(shortest);
         let concurrency =
             self.concurrency.unwrap_or(engines.div_ceil(INITIAL_DIVISOR) as f64).max(1.0);
         if took <= shortest.mul_f64(SLOWDOWN_RATIO) {
-            // One more for as many loads as go on at a time.
+            // The limit grows by one for each round of concurrent loads.
             self.concurrency = Some((concurrency + 1.0 / concurrency).min(engines.max(1) as f64));
         } else if now >= self.decreased_at + took {
-            // Those that were slowed down together count once.
+            // Loads that slowed each other down reduce the limit once.
             self.decreased_at = now;
             self.concurrency = Some((concurrency * DECREASE_FACTOR).max(1.0));
         }
--- a/src/fleet/naming.rs
+++ b/src/fleet/naming.rs
@@ -1,17 +1,18 @@
-//! Since when weights have been named, as far as a daemon knows.
+//! Bounds the time since versions of weights were named.
 //!
-//! No record says when it was written, and a daemon that was frozen, cut off or not there hears of it late. What it
-//! does know is until when it had missed nothing that operators published: whatever it hears of after that was named
-//! later. So for each version it keeps the longest time for which it may have been named. Peers tell each other what
-//! they saw themselves, and the least holds, since each is true.
+//! Records carry no time of writing, and a daemon that was frozen, partitioned or stopped reads
+//! them late. It knows until when it had received all records of operators: a version that it reads
+//! afterwards was named after that time. So it keeps for each version an upper bound of the time
+//! since it was named. Daemons exchange the bounds that they derived themselves; the smallest
+//! counts, since all of them hold.
 
 use crate::prelude::*;
 
-/// Versions of one model that are remembered.
+/// Maximum number of versions that are kept per model.
 const MAX_VERSIONS: usize = 16;
 
-/// The longest time for which a version may have been named at one moment. That may be longer than the daemon's clock
-/// runs.
+/// Upper bound, at one moment, of the time since a version was named. It may exceed the uptime of
+/// the daemon's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Bound {
     at: Time,
@@ -19,12 +20,13 @@
 }
 
 impl Bound {
-    /// What is heard of at time `now` and was not there at time `since`.
+    /// Bound of a version that was read at time `now` and not yet named at time `since`.
     pub(super) fn since(since: Time, now: Time) -> Self {
         Self { at: now, age: now.saturating_sub(since) }
     }
 
-    /// What was told at time `at` to be of this age, and had been on its way for `delay`.
+    /// Bound of a version that a peer reported at time `at` with this age, after a network delay of
+    /// `delay`.
     pub(super) fn reported(at: Time, age: Duration, delay: Duration) -> Self {
         Self { at, age: age.saturating_add(delay) }
     }
@@ -34,43 +36,42 @@
     }
 }
 
-/// What a daemon tells its peers of a version that was named.
+/// A named version, as daemons report it to their peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Naming {
     /// The model.
     pub model: String,
     /// The version.
     pub version: u64,
-    /// The longest time for which it may have been named; `None` where that is not known, or beyond the limit for
-    /// weights.
+    /// Upper bound of the time since it was named; `None` if unknown or beyond the weights limit.
     pub age: Option<Duration>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Named {
     version: u64,
-    /// `None` where nobody knows.
+    /// `None` if unknown.
     bound: Option<Bound>,
 }
 
 /// Versions of one model.
 #[derive(Debug, Clone, Default)]
 struct Model {
-    /// In ascending order. The bound of each holds for every version after the one before it: where 3 and 4 were
-    /// missed, that of 5 holds for them too.
+    /// In ascending order. The bound of each also holds for the versions between it and the one
+    /// before it: if 3 and 4 were missed, the bound of 5 holds for them too.
     named: Vec<Named>,
-    /// The newest version that is no longer listed.
+    /// The newest version that was evicted from the list.
     evicted: Option<u64>,
 }
 
-/// The versions that were named, by model.
+/// The named versions, by model.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Namings {
     models: BTreeMap<String, Model>,
 }
 
 impl Namings {
-    /// The longest time for which a version after this one may have been named; `None` where none has.
+    /// Maximum time since a version after this one was named; `None` if none was.
     pub(super) fn superseded_for(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
         let model = self.models.get(model)?;
         if model.evicted.is_some_and(|evicted| evicted > version) {
@@ -85,7 +86,7 @@
         Some(self.models.get(model)?.named.last()?.version)
     }
 
-    /// Takes over that the store names a version; whether it is newer than those known.
+    /// Records a version that the store names; false if it is not newer than the known ones.
     pub(super) fn record(&mut self, model: &str, version: u64, bound: Option<Bound>) -> bool {
         if self.newest(model).is_some_and(|newest| newest >= version) {
             return false;
@@ -94,7 +95,8 @@
         true
     }
 
-    /// Takes over what a peer told at time `at`, `delay` after it knew; `now` is the time at which bounds are compared.
+    /// Merges what a peer reported at time `at` with a network delay of `delay`; bounds are
+    /// compared at `now`.
     pub(super) fn merge_peer(&mut self, now: Time, told: &[Naming], at: Time, delay: Duration) {
         for Naming { model, version, age } in told {
             let bound = age.map(|age| Bound::reported(at, age, delay));
@@ -112,8 +114,8 @@
         }
     }
 
-    /// What peers are told: versions that were named within `limit`, and the one before each, after which its bound
-    /// holds.
+    /// The versions to report to peers: those named within `limit`, and the version before each,
+    /// because a bound holds for all versions after that one.
     pub(super) fn recent(&self, now: Time, limit: Duration) -> Vec<Naming> {
         let age = |named: &Named| named.bound.map(|bound| bound.age(now)).filter(|a| *a < limit);
         let mut told = Vec::new();
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -1,22 +1,22 @@
-//! Peers are told at once of a large prompt that goes to an engine, of the shared parts that it will
-//! hold by that, and of the begin of its answer.
+//! Notifies peers at once when a large prompt is sent to an engine or its answer begins, with the
+//! shared parts that the engine will hold.
 //!
-//! An engine that reads a large prompt answers nobody else meanwhile, which takes about the time between
-//! two digests. Without a word of it, small requests that other daemons send to that engine wait behind
-//! the prompt, and begin late.
+//! An engine that reads a large prompt serves no other request meanwhile, for about the interval
+//! between two digests. Without a notice, small requests that other daemons send to that engine
+//! wait behind the prompt and begin late.
 
 use super::{Busy, Effect, Frame, Life, Node, server};
 use crate::prelude::*;
 
 pub(super) use crate::allowance::Allowance;
 
-/// Prompt tokens from which a request is a large one: some 20 ms of an engine.
+/// Minimum prompt tokens of a large request: some 20 ms of an engine.
 pub(super) const LARGE_TOKENS: u32 = 1_000;
-/// Notices that one daemon sends a second at most, counting one for each peer, so that many daemons
-/// cost each other little: 12 KB a second.
+/// Maximum notices per second that one daemon sends, one counted per receiving peer. It bounds the
+/// traffic between many daemons: 12 KB per second.
 const MAX_NOTICES_PER_S: f64 = 300.0;
 
-/// What a daemon has at one server now.
+/// The current work of a daemon at one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notice {
     /// The daemon.
@@ -25,12 +25,12 @@
     pub life: Life,
     /// The daemon's work at it.
     pub busy: Busy,
-    /// Parts, by what they are kept under, that the server begins to read or fetch.
+    /// Parts, by salted key, that the server begins to read or fetch.
     pub parts: Vec<u64>,
 }
 
 impl Node {
-    /// Tells peers what this daemon has at a server, where the change is of a large prompt.
+    /// Reports this daemon's work at a server to peers if the change concerns a large prompt.
     pub(super) fn send_notice(
         &mut self,
         now: Time,
@@ -41,7 +41,7 @@
         let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE_TOKENS) else { return };
         let (life, busy) = (server.entry.life.clone(), server.busy(now));
         if self.is_scheduler(now) {
-            // The others are told of its load soon enough, and place nothing at the same servers.
+            // Other daemons learn of this load soon enough, and place nothing on these servers.
             return;
         }
         let peers = self.scheduler_addresses(now);
@@ -58,8 +58,8 @@
 }
 
 impl Node {
-    /// Takes over what a peer has at one server now; its next digest tells of the work too. What the
-    /// server begins to read for others need not be read at another one.
+    /// Applies the current work of a peer at one server, which its next digest reports too. The
+    /// parts that the server begins to read need not be read at another one.
     pub(super) fn apply_notice(&mut self, now: Time, notice: Notice) {
         let Notice { daemon, life, busy, parts } = notice;
         if let Some(server) = self.lives.server(&life).and_then(|key| self.servers.get_mut(key)) {
@@ -72,7 +72,7 @@
 }
 
 impl super::Server {
-    /// What this daemon has at it.
+    /// This daemon's work at the server.
     pub(super) fn busy(&self, now: Time) -> Busy {
         let age_ms =
             |at: Time| u32::try_from(now.saturating_sub(at).as_millis()).unwrap_or(u32::MAX);
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -1,63 +1,65 @@
-//! Which daemons read the platform's store, and how often.
+//! Decides which daemons read the platform's store, and how often.
 //!
-//! Each read is charged for, and the store's rates are of all daemons together. The schedulers read for
-//! all; some daemons after them read too, so that no few that are cut off leave the others without a
-//! word; the rest read by themselves while no scheduler has lately. Whatever one daemon reads the
-//! scheduler of the topic tells all, and who is missed asks.
+//! Each read is charged, and the rate limits of the store apply to all daemons together. The
+//! schedulers and some daemons ranked after them read for all, so that a partition of a few daemons
+//! doesn't leave the others without news. The rest read only while no scheduler has read recently.
+//! The scheduler of a topic passes on whatever one daemon reads, and a daemon that missed it asks.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Node, Topic, Tracked};
 use crate::prelude::*;
 
-/// Shortest time between two reads of the servers' topic, so that several changes come at once.
+/// Minimum time between two reads of the servers' topic, so that one read returns several changes.
 const MIN_SERVERS_INTERVAL: Duration = Duration::from_millis(250);
-/// Time in which readers that do not schedule read the servers' topic once between them.
+/// Time in which the readers that are not schedulers together read the servers' topic once.
 const JOINT_SERVERS_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest time between two reads of the servers' topic: a leaving server may be given work for two
-/// seconds after the store knows, whatever peers tell.
+/// Maximum time between two reads of the servers' topic: a leaving server may receive requests for
+/// two seconds after the store knows, whatever peers report.
 const MAX_SERVERS_INTERVAL: Duration = Duration::from_millis(1_200);
-/// Time between two reads of daemons' registrations: digests make daemons known to each other sooner.
+/// Time between two reads of the daemons' registrations: daemons learn of each other sooner by
+/// digests.
 const ROUTERS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two reads of the lease for those who may take it next: under the time between two
-/// renewals.
+/// Time between two reads of the lease by its candidates: less than the time between two renewals.
 const CANDIDATE_LEASE_INTERVAL: Duration = Duration::from_millis(600);
-/// The same for all others, who need it only once those before them are gone.
+/// The same for other daemons, which need the lease only after the candidates have failed.
 const LEASE_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Time that a read of the lease waits for a record while engines lack weights: longer than the time
-/// between two renewals, and short beside the limit for weights. A read that the store swallows in an
-/// outage is noticed only after it, and weights that were named before stay away for as long.
+/// Maximum wait of a lease read for a record while engines have older weights. It is longer than
+/// the time between two renewals, and short relative to the weights limit. A read that is lost in
+/// an outage of the store is noticed only after this wait, and delays a rollout that started before
+/// by as much.
 const ACTIVE_LEASE_WAIT: Duration = Duration::from_secs(2);
-/// The same for those who may take the lease next while there is nothing to order.
+/// The same for candidates while there is nothing to order.
 const CANDIDATE_LEASE_WAIT: Duration = Duration::from_secs(5);
-/// Longest time that a read of what operators publish waits for a record. A read that an outage swallowed is noticed only after
-/// it, and has the others asked anew: configurations are due within 2 s of 3 s of calm.
+/// Maximum wait of a read of the operators' topic for a record. A read that is lost in an outage is
+/// noticed only after this wait, and the other daemons are then asked again: configurations must be
+/// in force within 2 s after 3 s without faults.
 const MAX_OPERATOR_WAIT: Duration = Duration::from_secs(2);
-/// Different lengths of that wait.
+/// Number of different lengths of that wait.
 const OPERATOR_WAIT_STEPS: u64 = 16;
-/// Time that any other read waits for a record.
+/// Maximum wait of any other read for a record.
 const DEFAULT_WAIT: Duration = Duration::from_secs(20);
-/// The same for a scheduler's reads that other daemons rely on: a read that has ended shows that the
-/// store is there, one that waits does not.
+/// The same for a scheduler's reads that other daemons rely on: a read that has returned shows that
+/// the store is reachable, a pending one does not.
 const SCHEDULER_WAIT: Duration = Duration::from_millis(400);
-/// Time from a read that failed to the next, for those who read for all.
+/// Delay from a failed read to the next, for daemons that read for all.
 const READER_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// The same for all others: while the store is down every daemon reads by itself, and the first reader
-/// that it answers tells the others.
+/// The same for other daemons: during an outage of the store every daemon reads, and the first
+/// reader that gets an answer informs the others.
 const RETRY_DELAY: Duration = Duration::from_millis(1_200);
-/// Age of what a scheduler has read from which a daemon reads by itself: a configuration is to be in
-/// force within 2 s, also where every scheduler is cut off from the store.
+/// Age of a scheduler's last read from which a daemon reads by itself: a configuration must be in
+/// force within 2 s, even if every scheduler is partitioned from the store.
 const MAX_SCHEDULER_READ_AGE: Duration = Duration::from_millis(1_300);
-/// Daemons that read the lease often.
+/// Number of daemons, by rank, that read the lease often.
 const LEASE_CANDIDATES: u32 = 3;
 
 impl Node {
-    /// Whether this daemon is to read what is tracked: as one of those who read for all, or because no
-    /// scheduler tells that it has lately.
+    /// Whether this daemon should read what is tracked: because it reads for all, or because no
+    /// scheduler reports a recent read.
     pub fn should_read(&self, now: Time, tracked: Tracked) -> bool {
         let topic = match tracked {
             Tracked::Topic(topic) => topic,
-            // Those who may take it next read it; the others need it once those have fallen silent.
+            // The candidates always read it; the others need it after the candidates have failed.
             Tracked::Lease if self.is_lease_candidate() => return true,
             Tracked::Lease => Topic::Operator,
         };
@@ -72,7 +74,7 @@
         ages.min().is_none_or(|age| age >= MAX_SCHEDULER_READ_AGE)
     }
 
-    /// Whether this daemon is one of the first to take the lease, as far as daemons are known.
+    /// Whether this daemon is one of the first candidates for the lease, among the known daemons.
     fn is_lease_candidate(&self) -> bool {
         self.known.contains(&Topic::Routers) && self.rank_among_daemons() < LEASE_CANDIDATES
     }
@@ -82,9 +84,10 @@
         self.is_scheduler(now) && self.has_others_than_readers()
     }
 
-    /// How old what was read of each topic is, in the order of [`Topic::ALL`].
+    /// Age of the last read of each topic, in the order of [`Topic::ALL`].
     pub(super) fn read_ages(&self, now: Time) -> Vec<Option<Duration>> {
-        // Reads of daemons' registrations wait long; who reads the others reads them too.
+        // Reads of the daemons' registrations wait long; a daemon that reads the operators' topic
+        // reads them too.
         let read = |topic: Topic| match topic {
             Topic::Operator | Topic::Servers => self.read_at.get(&topic),
             Topic::Routers => self.read_at.get(&Topic::Operator),
@@ -93,14 +96,14 @@
         Topic::ALL.iter().map(|topic| read(*topic).map(age)).collect()
     }
 
-    /// Time that a read may wait for a record.
+    /// Maximum wait of a read for a record.
     pub fn max_read_wait(&self, now: Time, tracked: Tracked) -> Duration {
         match tracked {
             Tracked::Topic(Topic::Operator | Topic::Servers) if self.is_relied_on(now) => {
                 SCHEDULER_WAIT
             }
-            // Each daemon waits differently long: a record ends all waits at once, and with equal ones no daemon would
-            // have asked later than another when the next record comes.
+            // The wait differs by daemon: a record ends all waits at once, and with equal waits no
+            // daemon would have asked later than another when the next record comes.
             Tracked::Topic(Topic::Operator) => {
                 let part = xxh3_64(self.identity.id.as_bytes()) % OPERATOR_WAIT_STEPS;
                 MAX_OPERATOR_WAIT - MAX_OPERATOR_WAIT / 2 * part as u32 / OPERATOR_WAIT_STEPS as u32
@@ -112,12 +115,12 @@
         }
     }
 
-    /// Time from a read that failed to the next one.
+    /// Delay from a failed read to the next.
     pub fn retry_delay(&self) -> Duration {
         if self.is_reader() { READER_RETRY_DELAY } else { RETRY_DELAY }
     }
 
-    /// Time from a read that brought something to the next read.
+    /// Time from a successful read to the next.
     pub fn read_interval(&self, now: Time, tracked: Tracked) -> Duration {
         match tracked {
             Tracked::Topic(Topic::Operator) => Duration::ZERO,
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to: the one at which its answer is predicted to begin first.
+//! Chooses the server for a request: the one with the lowest predicted time to the first token.
 
 use std::net::SocketAddr;
 
@@ -11,84 +11,84 @@
 use super::{Key, Node, Place, Prompt, Server, Topic, server};
 use crate::prelude::*;
 
-/// Milliseconds of delay that a shared token is worth which a server lacks and another holds: a
-/// transfer takes a fifth of it, and reading it again, where the transfer fails, costs more than a late
-/// answer does.
+/// Cost of a shared token that this server lacks and another holds. A transfer costs a fifth of it;
+/// if the transfer fails, reading the token again costs more than a late answer.
 const REREAD_PENALTY_MS_PER_TOKEN: f64 = 0.05;
-/// Silence of a server that says nothing: a large prompt takes so long, and peers tell late.
+/// Silence of a server that is normal: a large prompt takes this long, and peers report with a
+/// delay.
 const NORMAL_SILENCE: Duration = Duration::from_millis(350);
-/// By how much silence beyond that counts more than waiting time: a server that has failed answers
-/// never.
+/// Weight of silence beyond that relative to waiting time: a failed server never answers.
 const SILENCE_WEIGHT: f64 = 2.0;
-/// Milliseconds by which each running request delays the first token of the next: its share of the
-/// steps that pass meanwhile.
+/// Delay of the first token per request that runs on the server: its share of the engine's steps.
 const DELAY_MS_PER_RUNNING_REQUEST: f64 = 2.0;
-/// Milliseconds that another availability zone costs: two crossings, and the price of the bytes.
+/// Cost of a server in another availability zone: two crossings, and the price of the bytes.
 const CROSS_ZONE_PENALTY_MS: f64 = 2.0;
-/// Milliseconds of delay that a start on older weights is worth, once it costs a part of its value.
+/// Cost of a start on superseded weights once [`OLD_WEIGHTS_GRACE`] has passed.
 const OLD_WEIGHTS_PENALTY_MS: f64 = 120.0;
-/// Time from the naming of weights until a start on older ones costs a part of its value.
+/// Time after new weights are named in which a start on older ones keeps its full value.
 const OLD_WEIGHTS_GRACE: Duration = Duration::from_millis(1_300);
-/// Time before the limit at which requests are no longer sent to older weights: an engine with a
-/// queue begins them seconds later.
+/// Time before the weights limit at which requests are no longer sent to older weights: an engine
+/// with a queue starts them seconds later.
 const OLD_WEIGHTS_MARGIN: Duration = Duration::from_millis(2_500);
-/// Time before the limit at which those are taken back that have not begun: the engine must notice.
+/// Time before the weights limit at which requests that have not begun are recalled: the engine
+/// must still receive the recall.
 const RECALL_MARGIN: Duration = Duration::from_millis(400);
-/// Milliseconds that a plain server's running request is assumed to hold its slot.
+/// Assumed milliseconds for which a request occupies a slot of a plain server.
 pub(super) const PLAIN_REQUEST_MS: f64 = 40.0;
-/// The part of a route's target that a request may wait at an engine for what was sent before it, what
-/// the engine lacks of its prompt included. With more, a pool that is overloaded for seconds (engines
-/// gone, weights loading) answers everything late, and reads everywhere what one engine holds; what
-/// has not been sent goes to the engine that holds its parts once that is free, or is told to come
-/// back.
+/// Maximum wait at an engine, as a ratio of the route's target. It covers the requests sent before
+/// and the part of the prompt that the engine lacks. With more, a pool that is overloaded for
+/// seconds (engines gone, weights loading) answers every request late and reads everywhere what one
+/// engine holds. A request that is not sent goes to the engine that holds its parts once that is
+/// free, or is refused with a retry-after time.
 const MAX_ENGINE_WAIT_RATIO: f64 = 0.5;
-/// The same for a prompt that is read in some 20 ms: to refuse it makes room for nobody, engines begin
-/// such prompts sooner than predicted, and for each millisecond of an engine they are worth several
+/// The same for a prompt that is read in some 20 ms. Refusing it frees no capacity, engines begin
+/// such prompts sooner than predicted, and per millisecond of an engine they are worth several
 /// times as much as large ones.
 const MAX_ENGINE_WAIT_RATIO_SMALL: f64 = 1.0;
-/// Milliseconds by which a server that was tried in vain is passed over for others.
+/// Penalty of a server that this request was already sent to without success.
 const TRIED_PENALTY_MS: f64 = 10_000.0;
 
-/// Where a request goes, and what it costs there.
+/// The chosen server for a request, and the predicted cost.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Choice {
     pub(super) server: server::Key,
-    /// Prompt tokens that the server must read for it.
+    /// Prompt tokens that the server must compute.
     pub(super) read_tokens: u32,
-    /// Shared tokens that it is believed to hold.
+    /// Shared tokens that the server is believed to hold.
     pub(super) held_tokens: u32,
-    /// Shared tokens that it fetches.
+    /// Shared tokens that the server fetches.
     pub(super) fetched_tokens: u32,
     pub(super) salt: Option<String>,
     pub(super) weights: Option<u64>,
     pub(super) fetch_from: Option<SocketAddr>,
     pub(super) save_to: Option<SocketAddr>,
-    /// Whether it fetches from the KV store.
+    /// Whether the server fetches from the KV store.
     pub(super) from_store: bool,
-    /// Bytes that this moves over the KV store's link, each as often as it takes the link's time.
+    /// Bytes that this moves over the KV store's link, each counted as often as it takes up the
+    /// link.
     pub(super) moved_bytes: f64,
-    /// Whether the server is believed to hold what the prompt shares.
+    /// Whether the server is a home of the shared parts.
     pub(super) is_home: bool,
-    /// Predicted milliseconds to its first token.
+    /// Predicted milliseconds to the first token, with penalties.
     pub(super) cost_ms: f64,
 }
 
-/// What a request wants of any engine.
+/// Requirements of a request that are the same for every engine.
 struct Requirement<'a> {
     request: &'a Request,
     prompt: &'a Prompt,
-    /// Its workspace, where that shares with no other.
+    /// The workspace of the request if it shares no cache with others.
     isolated: Option<&'a str>,
     homes: Homes,
-    /// Most milliseconds that it may wait at an engine.
+    /// Maximum milliseconds that it may wait at an engine.
     max_wait_ms: f64,
-    /// Whether it waits for a home rather than being read elsewhere.
+    /// Whether it waits for a home instead of being read on another engine.
     waits_for_home: bool,
 }
 
 impl Requirement<'_> {
-    /// Milliseconds that the shared tokens cost which are read, or may have to be. Somebody has to read
-    /// what nobody holds: a home, unless it was waited for in vain.
+    /// Cost of the shared tokens that must be read, or may have to be. Tokens that no server holds
+    /// must be read somewhere: by a home, unless the request has already waited for one in vain.
     fn reread_ms(&self, role: Role, supply: &Supply) -> f64 {
         let tokens = f64::from(supply.read + supply.unsure);
         match role {
@@ -99,7 +99,7 @@
 }
 
 impl Node {
-    /// The server for a request; `None` while none has room.
+    /// Chooses a server for a request; `None` while none has room.
     pub(super) fn place(&self, now: Time, key: Key) -> Option<Choice> {
         let request = self.requests.get(&key)?;
         let keys = self.pools.get(&request.pool)?;
@@ -183,7 +183,7 @@
         best.map(|(choice, supply)| self.with_store_transfer(now, request, prompt, choice, supply))
     }
 
-    /// What a request wants of any engine.
+    /// Collects the requirements of a request.
     fn requirement<'a>(
         &self,
         now: Time,
@@ -200,8 +200,8 @@
             MAX_ENGINE_WAIT_RATIO
         };
         let max_wait_ms = request.arrival.route.target.as_secs_f64() * 1_000.0 * part;
-        // What a home will soon have room for waits for it; where no home has a place, or it has waited
-        // for one in vain, another engine that is idle reads the parts in time.
+        // A request waits for a home that will soon have room. If no home is usable, or it has
+        // waited for one in vain, another idle engine reads the parts in time.
         let has_home = usable.iter().any(|(key, server)| {
             let version = server.version(&prompt.model);
             let begins =
@@ -212,8 +212,8 @@
         Requirement { request, prompt, isolated, homes, max_wait_ms, waits_for_home }
     }
 
-    /// What an engine costs a request, and how it gets the parts that it lacks; `None` where it could not
-    /// begin in time.
+    /// Predicts the cost of a request on an engine and the source of the parts that the engine
+    /// lacks; `None` if the engine could not begin in time.
     fn evaluate(
         &self,
         now: Time,
@@ -274,7 +274,7 @@
         Some((choice, supply))
     }
 
-    /// Adds what a choice moves over the KV store's link.
+    /// Adds the transfer over the KV store's link to a choice.
     fn with_store_transfer(
         &self,
         now: Time,
@@ -300,14 +300,15 @@
         engine.map_or(0.0, |engine| engine.token_bytes as f64)
     }
 
-    /// Adds what has become free of the KV store's link.
+    /// Refills the allowance of the KV store's link.
     pub(super) fn refill_link(&mut self, now: Time) {
         let store = self.table.as_ref().and_then(|table| table.kv_store());
         self.link.refill(now, store.map_or(0, |store| store.link));
     }
 
-    /// What a start on this version costs; `None` where it may no longer be used, or nobody told yet which
-    /// were named: a configuration may come before the topic that it is part of.
+    /// Cost of a start on this version; `None` if it may no longer be used, or if this daemon has
+    /// not yet read the operators' topic: a configuration may come before the topic that it is part
+    /// of.
     fn old_weights_penalty_ms(&self, now: Time, model: &str, version: u64) -> Option<f64> {
         if !self.known.contains(&Topic::Operator) {
             return None;
@@ -321,17 +322,18 @@
         Some(if age >= OLD_WEIGHTS_GRACE { OLD_WEIGHTS_PENALTY_MS } else { 0.0 })
     }
 
-    /// Whether a request may begin on these weights.
+    /// Whether a request may begin on this version of the weights.
     pub(super) fn is_version_allowed(&self, now: Time, model: &str, version: u64) -> bool {
         self.old_weights_penalty_ms(now, model, version).is_some()
     }
 
-    /// Whether a request that was sent to these weights and has not begun must not begin any more.
+    /// Whether a request that was sent to this version and has not begun must be recalled.
     pub(super) fn needs_recall(&self, now: Time, model: &str, version: u64) -> bool {
         self.reaches_limit_within(now, RECALL_MARGIN, model, version)
     }
 
-    /// The same for one that a scheduler placed, which takes it back by itself while it is there.
+    /// Whether the daemon of the request must take it over from a scheduler that has not recalled
+    /// it. The margin is shorter because a live scheduler recalls the request itself.
     pub(super) fn needs_takeover(&self, now: Time, model: &str, version: u64) -> bool {
         self.reaches_limit_within(now, RECALL_MARGIN / 2, model, version)
     }
@@ -342,7 +344,7 @@
     }
 }
 
-/// What the silence of a server adds to the time that is expected there.
+/// Penalty for the silence of a server.
 fn silence_penalty_ms(now: Time, load: Load) -> f64 {
     let silence = load.silence(now).saturating_sub(NORMAL_SILENCE);
     silence.as_secs_f64() * 1_000.0 * SILENCE_WEIGHT
--- a/src/fleet/prompt.rs
+++ b/src/fleet/prompt.rs
@@ -1,9 +1,9 @@
-//! Prompts by their parts, and what cached parts are kept under.
+//! The parts of prompts, and the keys of cached parts.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Prompt tokens that an engine reads in a millisecond, as its maker states; the platform's sheet
-/// gives 51.
+/// Prompt tokens that an engine reads per millisecond, by the manufacturer's specification; the
+/// platform's data sheet gives 51.
 pub(super) const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 
 /// One part of a prompt.
@@ -11,7 +11,7 @@
 pub struct Part {
     /// Hash of the part's id.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
@@ -22,9 +22,9 @@
     pub model: String,
     /// Tokens of the prompt.
     pub input: u32,
-    /// Tokens of the answer at most.
+    /// Maximum tokens of the answer.
     pub output: u32,
-    /// The prompt's parts in order; the last belongs to this request alone.
+    /// The parts in order; the last is unique to this request.
     pub parts: Vec<Part>,
 }
 
@@ -39,8 +39,8 @@
     sum.min(prompt.input)
 }
 
-/// What an engine keeps cached prompts under: the version of its weights, and the workspace where
-/// that shares with no other.
+/// Salt of cached prompts in an engine: the version of the weights, and the workspace if it shares
+/// with no other.
 pub(super) fn cache_salt(version: u64, isolated: Option<&str>) -> String {
     match isolated {
         Some(owner) => format!("{version}.{owner}"),
@@ -48,13 +48,13 @@
     }
 }
 
-/// A part, or another hash, under what it is kept.
+/// Key of a part, or of another hash, under a salt.
 pub(super) fn salted_key(salt: &str, part: u64) -> u64 {
     xxh3_64_with_seed(salt.as_bytes(), part)
 }
 
-/// Tokens of a prompt's shared beginning of which `tokens` tells how many of a part are held, by what
-/// the part is kept under and its tokens.
+/// Tokens of the longest held prefix of a prompt's shared parts. `tokens` returns how many tokens
+/// of a part are held, by its key and its length.
 pub(super) fn held_tokens(prompt: &Prompt, salt: &str, tokens: impl Fn(u64, u32) -> u32) -> u32 {
     let mut sum = 0;
     for part in shared_parts(&prompt.parts) {
@@ -67,7 +67,7 @@
     sum.min(prompt.input)
 }
 
-/// Milliseconds of an engine for what a prompt shares with no other.
+/// Milliseconds that an engine needs to read the unshared part of a prompt.
 pub(super) fn unshared_ms(prompt: &Prompt) -> f64 {
     f64::from(prompt.input.saturating_sub(shared_tokens(prompt))) / PREFILL_TOKENS_PER_MS
 }
--- a/src/fleet/retry.rs
+++ b/src/fleet/retry.rs
@@ -1,41 +1,41 @@
-//! The budget of attempts after the first, shared by all daemons without asking one another.
+//! Retry budget that all daemons share without communication.
 //!
-//! All daemons together may add a part of the requests of any window, and a fixed number besides.
-//! Each takes that part of its own requests, and its share of the fixed number.
+//! All daemons together may retry a ratio of the requests in any window, plus a fixed number. Each
+//! daemon uses that ratio of its own requests and its share of the fixed number.
 
 use std::collections::VecDeque;
 
 use crate::prelude::*;
 
-/// Share of the budget that is used; the rest is left for windows that slide between daemons.
+/// Usable ratio of the budget; the rest allows for windows that differ between daemons.
 const USABLE_RATIO: f64 = 0.8;
 
-/// Requests to one pool and repeats among them within a window.
+/// Requests to one pool and their retries within a window.
 #[derive(Debug, Default)]
 pub struct Budget {
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
-/// Bounds of a budget.
+/// Limits of a budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats of this daemon besides.
+    /// Additional retries of this daemon per window.
     pub slack: f64,
 }
 
 impl Budget {
-    /// Notes a request.
+    /// Records a request.
     pub fn note_request(&mut self, now: Time, terms: Terms) {
         self.requests.push_back(now);
         drop_expired(&mut self.requests, now, terms.window);
     }
 
-    /// Repeats that are left in the window that ends now.
+    /// Retries that remain in the window that ends now.
     pub fn remaining(&mut self, now: Time, terms: Terms) -> u64 {
         drop_expired(&mut self.requests, now, terms.window);
         drop_expired(&mut self.retries, now, terms.window);
@@ -43,7 +43,7 @@
         (allowed as u64).saturating_sub(self.retries.len() as u64)
     }
 
-    /// Takes a repeat out of the budget; false where none is left.
+    /// Takes a retry out of the budget; false if none remains.
     pub fn try_spend(&mut self, now: Time, terms: Terms) -> bool {
         let allowed = self.remaining(now, terms) > 0;
         if allowed {
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -1,5 +1,4 @@
-//! Bringing engines to the weights that operators named: who orders, which engine next, and how
-//! many at once.
+//! Rolls out new weights: the lease holder orders engines to load them, a limited number at a time.
 
 use super::life::Known;
 use super::loading::Limiter;
@@ -8,53 +7,54 @@
 use super::{Effect, Entry, Life, Node, OrderEnd, State, Tracked, server};
 use crate::prelude::*;
 
-/// Time after an order until its engine is first asked whether it is done: a load takes about half
-/// a second, and reports lag.
+/// Delay from an order to the first poll of its engine: a load takes about half a second, and
+/// reports lag.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(700);
-/// Time between two questions: an engine that is done carries nothing until that is known.
+/// Time between two polls: an engine that has finished serves nothing until a poll shows it.
 const POLL_INTERVAL: Duration = Duration::from_millis(120);
-/// The part of the limit for weights after which an engine's are so old that as many load at a time as
-/// can be spared: what is left of the time bears few rounds more.
+/// Age of an engine's weights, as a ratio of the weights limit, from which as many engines load at
+/// a time as the pool can spare: the remaining time allows few more rounds.
 const URGENT_AGE_RATIO: f64 = 0.6;
-/// Time after which an order that shows no effect counts as lost.
+/// Time after which an order without a visible effect counts as lost.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Time by which each daemon waits longer than the one before it to take the lease.
+/// Additional delay of each daemon, by rank, before it tries to take the lease.
 const CANDIDATE_DELAY_STEP: Duration = Duration::from_millis(250);
 
-/// What was named, and what was ordered.
+/// State of the rollout of weights.
 #[derive(Debug, Default)]
 pub(super) struct Rollout {
-    /// What was named, as far as this daemon saw itself.
+    /// Named versions that this daemon read itself.
     pub(super) own_namings: Namings,
-    /// The same with what peers told last.
+    /// The same, merged with the last report of each peer.
     merged_namings: Namings,
-    /// Whether peers told something since that was put together.
+    /// Whether peers have reported since the last merge.
     pub(super) merge_is_stale: bool,
-    /// Until when nothing that operators published was missed, as far as is known.
+    /// Time until which this daemon has received all records of the operators' topic.
     pub(super) complete_until: Option<Time>,
-    /// Since when engines lack what was named.
+    /// Start of the period in which engines have older weights.
     outdated_since: Option<Time>,
-    /// Weights that were seen lately: server, model, version, and when.
+    /// Versions that were recently observed: server, model, version and time.
     pub(super) observed: Vec<(Life, String, u64, Time)>,
-    /// What was seen of loads, by pool.
+    /// Limits on concurrent loads, by pool.
     limiters: BTreeMap<String, Limiter>,
 }
 
 impl Rollout {
-    /// Whether engines lack what was named.
+    /// Whether engines have older weights than the newest.
     pub(super) fn is_active(&self) -> bool {
         self.outdated_since.is_some()
     }
 }
 
 impl Node {
-    /// Notes that nothing that operators published was missed until time `at`.
+    /// Records that this daemon has received all records of operators written until `at`.
     pub(super) fn note_complete_until(&mut self, at: Time) {
         let known = self.rollout.complete_until.get_or_insert(at);
         *known = at.max(*known);
     }
 
-    /// Takes over that `version` of `model` was named: after the time until which nothing was missed.
+    /// Records that `version` of `model` was named, after the time until which all records are
+    /// known.
     pub(super) fn note_naming(&mut self, now: Time, model: &str, version: u64) {
         let bound = self.rollout.complete_until.map(|since| Bound::since(since, now));
         if !self.rollout.own_namings.record(model, version, bound) {
@@ -68,7 +68,7 @@
         self.event(Event::WeightsNamed, detail);
     }
 
-    /// Puts together what this daemon saw and what each peer told last, where that has changed.
+    /// Merges the namings of this daemon and of its peers if they have changed.
     pub(super) fn refresh_namings(&mut self, now: Time) {
         if std::mem::take(&mut self.rollout.merge_is_stale) {
             self.merge_namings(now);
@@ -84,12 +84,12 @@
         self.rollout.merged_namings = named;
     }
 
-    /// For how long, at most, a version after this one has been named; `None` where none has.
+    /// Maximum time since a version after this one was named; `None` if none was.
     pub(super) fn superseded_for(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
         self.rollout.merged_namings.superseded_for(now, model, version)
     }
 
-    /// Notes the version that a server was seen to have.
+    /// Records the version that a server was observed to have.
     pub(super) fn note_weights(&mut self, now: Time, key: server::Key, model: &str, version: u64) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if server.version(model).is_some_and(|known| known >= version) {
@@ -113,13 +113,13 @@
         self.send_waiting(now);
     }
 
-    /// Whether the configuration names this pool as one of engines: a registration that names another
-    /// need not be of a server.
+    /// Whether the configuration defines this pool as one of engines: a registration with another
+    /// pool need not be of a server.
     fn is_engine_pool(&self, pool: &str) -> bool {
         self.table.as_ref().is_some_and(|table| table.engine(pool).is_some())
     }
 
-    /// Engines that lack what was named, by model, with the version.
+    /// Engines with older weights, by model, with the version to load.
     fn outdated_engines(&self) -> Vec<(server::Key, String, u64)> {
         let mut outdated = Vec::new();
         for (key, server) in &self.servers {
@@ -137,7 +137,7 @@
         outdated
     }
 
-    /// Takes or renews the lease where engines lack weights, and orders those that are due.
+    /// Takes or renews the lease while engines have older weights, and orders the next engines.
     pub(super) fn roll_out(&mut self, now: Time) {
         let outdated = self.outdated_engines();
         if outdated.is_empty() {
@@ -145,7 +145,7 @@
             return;
         }
         let since = *self.rollout.outdated_since.get_or_insert(now);
-        // Who does not read the lease would take one that is held.
+        // A daemon that does not read the lease would try to take one that is held.
         let candidate = self.should_read(now, Tracked::Lease)
             && now >= since + CANDIDATE_DELAY_STEP * self.rank_among_daemons();
         if !self.draining
@@ -188,15 +188,16 @@
         keys.iter().filter(loads).count()
     }
 
-    /// Whether an engine's weights will soon be too old to begin anything on. What counts is when they
-    /// were overtaken: where weights are named again and again, some engine always lacks the newest.
+    /// Whether an engine's weights will soon reach the weights limit. The age counts from the first
+    /// version that superseded them: if versions are named in quick succession, some engine always
+    /// lacks the newest.
     fn is_urgent(&self, now: Time, key: server::Key, model: &str) -> bool {
         let version = self.servers.get(key).and_then(|server| server.version(model));
         let age = version.and_then(|version| self.superseded_for(now, model, version));
         age.is_some_and(|age| age >= self.policy.weights_limit.mul_f64(URGENT_AGE_RATIO))
     }
 
-    /// Engines of a pool that may load at a time.
+    /// Maximum number of engines of a pool that may load at a time.
     fn max_loading(&self, pool: &str, urgent: bool) -> usize {
         let limit = self.policy.weights_limit;
         let engines = self.pools.get(pool).map_or(1, Vec::len);
@@ -233,7 +234,7 @@
         self.next_digest = now;
     }
 
-    /// Asks engines that carry an order out whether they are done.
+    /// Polls engines that have an open order.
     fn poll_ordered(&mut self, now: Time) {
         for (key, server) in &mut self.servers {
             let Some(ordered) = &mut server.ordered else { continue };
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Takes over how an order ended.
+    /// Applies the outcome of an order.
     pub(super) fn order_ended(&mut self, now: Time, key: server::Key, end: OrderEnd) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let Some(ordered) = server.ordered.clone() else { return };
@@ -275,24 +276,24 @@
         self.event(Event::OrderRefused, detail);
     }
 
-    /// Takes over what an engine reported of itself.
+    /// Applies the state that an engine reported.
     pub(super) fn polled(&mut self, now: Time, key: server::Key, state: Option<State>) {
         let Some(state) = state else { return };
         let Some(server) = self.servers.get(key) else { return };
-        // An engine that does not say when it started is taken to be the one that is known.
+        // An engine that does not report its start is assumed to be the known one.
         let born = if state.born == 0 { server.entry.life.born } else { state.born };
         let life = Life::new(server.entry.life.id.as_str(), born);
         match self.lives.find(&life) {
             Known::Same(_) | Known::New => {}
-            // Its registration has yet to say so.
+            // The engine has restarted, and its registration does not show it yet.
             Known::Next(_) => {
                 let State { sequence, weights, .. } = state;
-                // Its former life may have been leaving.
+                // The previous life may have been leaving.
                 let entry =
                     Entry { life, sequence, weights, leaving: false, ..server.entry.clone() };
                 return self.register(now, entry);
             }
-            // The answer is older than what is known.
+            // The report is older than what is known.
             Known::Ended => return,
         }
         for (model, version) in &state.weights {
@@ -300,7 +301,7 @@
         }
         let Some(server) = self.servers.get_mut(key) else { return };
         let Some(ordered) = &server.ordered else { return };
-        // A report lags, so an order that was just accepted need not show in it yet.
+        // A report lags and may not show an order that was just accepted.
         let settled = !ordered.accepted || now >= ordered.at + FIRST_POLL_DELAY * 2;
         if !state.busy && settled {
             server.entry.sequence = state.sequence;
@@ -308,7 +309,7 @@
         }
     }
 
-    /// Takes over records of the lease.
+    /// Applies records of the lease.
     pub(super) fn lease_read(&mut self, now: Time, first: u64, records: &[(u64, String)]) {
         self.came_up(now, Tracked::Lease);
         let before = self.lease.held().map(|held| held.fence);
