--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -142,9 +142,10 @@
     }
 
     /// Counts the waiting requests of a pool before a position.
-    fn count_ahead(&self, turn: Position, pool: &str) -> usize {
-        let ahead = self.waiting.range(..turn);
-        let same = |turn: &&Position| self.requests.get(&turn.key).is_some_and(|r| r.pool == pool);
+    fn count_ahead(&self, position: Position, pool: &str) -> usize {
+        let ahead = self.waiting.range(..position);
+        let same =
+            |position: &&Position| self.requests.get(&position.key).is_some_and(|r| r.pool == pool);
         ahead.filter(same).count()
     }
 
@@ -155,8 +156,8 @@
         }
         self.next_pump = now + DISPATCH_INTERVAL;
         let mut full: BTreeSet<String> = BTreeSet::new();
-        for turn in self.next_batch() {
-            let Some(request) = self.requests.get(&turn.key) else { continue };
+        for position in self.next_batch() {
+            let Some(request) = self.requests.get(&position.key) else { continue };
             if full.contains(&request.pool) {
                 continue;
             }
@@ -165,8 +166,8 @@
                 continue;
             }
             let pool = request.pool.clone();
-            if self.try_send(now, turn.key) {
-                self.waiting.remove(&turn);
+            if self.try_send(now, position.key) {
+                self.waiting.remove(&position);
                 self.drains.entry(pool).or_default().note_sent(now);
             }
         }
@@ -176,13 +177,13 @@
     /// where the last pass ended. The prompts of the first ones may have no parts on the server
     /// that has room.
     fn next_batch(&mut self) -> Vec<Position> {
-        let mut turns: Vec<Position> = self.waiting.iter().take(DISPATCH_BATCH).copied().collect();
-        let Some(last) = turns.last().copied() else { return turns };
+        let mut batch: Vec<Position> = self.waiting.iter().take(DISPATCH_BATCH).copied().collect();
+        let Some(last) = batch.last().copied() else { return batch };
         let from = self.pumped.filter(|pumped| *pumped > last).unwrap_or(last);
         let after = (Bound::Excluded(from), Bound::Unbounded);
-        turns.extend(self.waiting.range(after).take(DISPATCH_BATCH));
-        self.pumped = turns.last().copied().filter(|_| turns.len() == 2 * DISPATCH_BATCH);
-        turns
+        batch.extend(self.waiting.range(after).take(DISPATCH_BATCH));
+        self.pumped = batch.last().copied().filter(|_| batch.len() == 2 * DISPATCH_BATCH);
+        batch
     }
 
     fn pool_has_room(&self, now: Time, pool: &str) -> bool {
@@ -198,7 +199,7 @@
         let expired: Vec<Key> = self
             .waiting
             .iter()
-            .map(|turn| turn.key)
+            .map(|position| position.key)
             .filter(|key| self.requests.get(key).is_some_and(|r| has_waited_too_long(now, r)))
             .collect();
         // Requests refused together are retried in order, so each counts those before it.
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -73,13 +73,13 @@
             return Homes::default();
         };
         let servers = ranked.len();
-        let mut narrow = |part: u64, spare: fn(usize) -> usize| {
+        let mut narrow = |part: u64, limit: fn(usize) -> usize| {
             let part = salted_key(owner, part);
             ranked.sort_by_cached_key(|(_, server)| {
                 std::cmp::Reverse(xxh3_64_with_seed(server.entry.life.id.as_bytes(), part))
             });
             let count = copy_count(self.load_ms_per_s(now, part), servers);
-            ranked.truncate(spare(count));
+            ranked.truncate(limit(count));
             count
         };
         for part in earlier {
@@ -87,9 +87,13 @@
         }
         let count = narrow(last.id, |count| count + MAX_FALLBACKS).min(ranked.len());
         let homes = &ranked[..count];
-        let shut =
+        let unavailable =
             homes.iter().filter(|(key, server)| !self.accepts_work(now, *key, server)).count();
-        Homes { ranked: ranked.into_iter().map(|(key, _)| key).collect(), count, fallbacks: shut }
+        Homes {
+            ranked: ranked.into_iter().map(|(key, _)| key).collect(),
+            count,
+            fallbacks: unavailable,
+        }
     }
 
     /// Work per second of all daemons for a part, as far as peers report it among their hottest
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -22,15 +22,15 @@
         self.reported_at
     }
 
-    /// Adds what a peer reported at time `told`.
-    pub(super) fn add(&mut self, told: Time, busy: &Busy) {
+    /// Adds what a peer reported at time `reported`.
+    pub(super) fn add(&mut self, reported: Time, busy: &Busy) {
         let before = |ms: Option<u32>| {
-            ms.map(|ms| told.saturating_sub(Duration::from_millis(u64::from(ms))))
+            ms.map(|ms| reported.saturating_sub(Duration::from_millis(u64::from(ms))))
         };
         self.running += busy.running;
         self.pending_tokens = self.pending_tokens.saturating_add(busy.pending_tokens);
         self.loading |= busy.ordered;
-        self.reported_at = earlier(self.reported_at, Some(told));
+        self.reported_at = earlier(self.reported_at, Some(reported));
         self.heard_at = self.heard_at.max(before(busy.heard_ms));
         self.unanswered_since = earlier(self.unanswered_since, before(busy.unanswered_ms));
     }
--- a/src/fleet/naming.rs
+++ b/src/fleet/naming.rs
@@ -97,8 +97,8 @@
 
     /// Merges what a peer reported at time `at` with a network delay of `delay`; bounds are
     /// compared at `now`.
-    pub(super) fn merge_peer(&mut self, now: Time, told: &[Naming], at: Time, delay: Duration) {
-        for Naming { model, version, age } in told {
+    pub(super) fn merge_peer(&mut self, now: Time, reports: &[Naming], at: Time, delay: Duration) {
+        for Naming { model, version, age } in reports {
             let bound = age.map(|age| Bound::reported(at, age, delay));
             let known = self.models.entry(model.clone()).or_default();
             if known.evicted.is_some_and(|evicted| evicted >= *version) {
@@ -118,16 +118,20 @@
     /// because a bound holds for all versions after that one.
     pub(super) fn recent(&self, now: Time, limit: Duration) -> Vec<Naming> {
         let age = |named: &Named| named.bound.map(|bound| bound.age(now)).filter(|a| *a < limit);
-        let mut told = Vec::new();
+        let mut recent = Vec::new();
         for (model, Model { named, .. }) in &self.models {
             for (index, one) in named.iter().enumerate() {
                 let next = named.get(index + 1);
                 if age(one).is_some() || next.is_some_and(|next| age(next).is_some()) {
-                    told.push(Naming { model: model.clone(), version: one.version, age: age(one) });
+                    recent.push(Naming {
+                        model: model.clone(),
+                        version: one.version,
+                        age: age(one),
+                    });
                 }
             }
         }
-        told
+        recent
     }
 }
 
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -69,8 +69,8 @@
         if self.is_reader() && tracked != Tracked::Lease {
             return true;
         }
-        let told = self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now));
-        let ages = told.filter_map(|(_, peer)| peer.read_age(now, topic));
+        let schedulers = self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now));
+        let ages = schedulers.filter_map(|(_, peer)| peer.read_age(now, topic));
         ages.min().is_none_or(|age| age >= MAX_SCHEDULER_READ_AGE)
     }
 
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -130,11 +130,11 @@
             let load = self.load(key, server);
             let running = f64::from(load.running);
             let slots = f64::from(server.entry.slots.max(1));
-            let tried = if request.tried.contains(&key) { TRIED_PENALTY_MS } else { 0.0 };
+            let tried_ms = if request.tried.contains(&key) { TRIED_PENALTY_MS } else { 0.0 };
             running * PLAIN_REQUEST_MS / slots
                 + self.zone_ms(server)
                 + silence_penalty_ms(now, load)
-                + tried
+                + tried_ms
         };
         let scored = usable.iter().map(|(key, server)| (cost(*key, server), *key));
         let (cost_ms, server) = scored.min_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -172,12 +172,12 @@
                     self.sources(now, prompt, version, &salt, &requirement.homes, &request.pool);
                 (salt, sources)
             });
-            let found = self.evaluate(now, &requirement, *key, server, salt, sources);
-            let cost = |found: &Option<(Choice, Supply)>| {
-                found.as_ref().map_or(f64::INFINITY, |(choice, _)| choice.cost_ms)
+            let candidate = self.evaluate(now, &requirement, *key, server, salt, sources);
+            let cost = |candidate: &Option<(Choice, Supply)>| {
+                candidate.as_ref().map_or(f64::INFINITY, |(choice, _)| choice.cost_ms)
             };
-            if cost(&found) < cost(&best) {
-                best = found;
+            if cost(&candidate) < cost(&best) {
+                best = candidate;
             }
         }
         best.map(|(choice, supply)| self.with_store_transfer(now, request, prompt, choice, supply))
@@ -194,12 +194,12 @@
         let isolated = request.arrival.workspace.as_ref().filter(|owner| owner.isolated);
         let isolated = isolated.map(|owner| owner.name.as_str());
         let homes = self.homes(now, isolated.unwrap_or_default(), &request.pool, prompt);
-        let part = if prompt.input < LARGE_TOKENS {
+        let ratio = if prompt.input < LARGE_TOKENS {
             MAX_ENGINE_WAIT_RATIO_SMALL
         } else {
             MAX_ENGINE_WAIT_RATIO
         };
-        let max_wait_ms = request.arrival.route.target.as_secs_f64() * 1_000.0 * part;
+        let max_wait_ms = request.arrival.route.target.as_secs_f64() * 1_000.0 * ratio;
         // A request waits for a home that will soon have room. If no home is usable, or it has
         // waited for one in vain, another idle engine reads the parts in time.
         let has_home = usable.iter().any(|(key, server)| {
@@ -245,7 +245,8 @@
         if wait_ms + supply.fetch_ms + bound_ms > requirement.max_wait_ms {
             return None;
         }
-        let tried = if requirement.request.tried.contains(&key) { TRIED_PENALTY_MS } else { 0.0 };
+        let tried_ms =
+            if requirement.request.tried.contains(&key) { TRIED_PENALTY_MS } else { 0.0 };
         let cost_ms = wait_ms
             + unshared_ms(prompt)
             + supply.fetch_ms
@@ -253,7 +254,7 @@
             + reread_ms
             + self.zone_ms(server)
             + old_ms
-            + tried;
+            + tried_ms;
         let spare = || sources.spare(key, &server.entry.zone, supply.read);
         let source = supply.source.clone().or_else(spare);
         let own = prompt.input.saturating_sub(shared);
--- a/src/fleet/tests/admission.rs
+++ b/src/fleet/tests/admission.rs
@@ -16,7 +16,7 @@
 }
 
 /// A daemon whose only server is full, and the request whose end makes room.
-fn full() -> (Daemon, Key) {
+fn full_server() -> (Daemon, Key) {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let (first, _) = daemon.arrive(ms(10), &route, None);
@@ -24,7 +24,7 @@
     (daemon, first)
 }
 
-fn refused_after(effects: &[Effect]) -> Vec<Duration> {
+fn retry_after_times(effects: &[Effect]) -> Vec<Duration> {
     let after = |command| match command {
         Command::Refuse(_, after) => Some(after),
         _ => None,
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn caller_that_comes_back_goes_before_newcomers() {
-    let (mut daemon, first) = full();
+fn retry_goes_before_new_requests() {
+    let (mut daemon, first) = full_server();
     let route = route("plain", Repeat::AtMostOnce, 1);
     daemon.fingerprint = Fingerprint(77);
     daemon.arrive(ms(20), &route, None);
-    assert_eq!(refused_after(&daemon.tick(ms(330))).len(), 1);
+    assert_eq!(retry_after_times(&daemon.tick(ms(330))).len(), 1);
     daemon.fingerprint = Fingerprint(78);
-    let (_newcomer, _) = daemon.arrive(ms(500), &route, None);
+    let (_new, _) = daemon.arrive(ms(500), &route, None);
     daemon.fingerprint = Fingerprint(77);
-    let (back, _) = daemon.arrive(ms(600), &route, None);
+    let (retry, _) = daemon.arrive(ms(600), &route, None);
     let effects = daemon.report(ms(610), first, 1, Report::Ended);
-    assert!(matches!(&by_request(&effects)[..], [(key, Command::Dispatch(_))] if *key == back));
+    assert!(matches!(&by_request(&effects)[..], [(key, Command::Dispatch(_))] if *key == retry));
 }
 
 #[test]
-fn caller_that_another_daemon_refused_goes_before_newcomers() {
-    let (mut daemon, first) = full();
+fn retry_of_request_that_a_peer_refused_goes_before_new_requests() {
+    let (mut daemon, first) = full_server();
     let route = route("plain", Repeat::AtMostOnce, 1);
     let digest = Digest {
         daemon: "router-2".into(),
@@ -61,14 +61,14 @@
     daemon.fingerprint = Fingerprint(78);
     daemon.arrive(ms(500), &route, None);
     daemon.fingerprint = Fingerprint(77);
-    let (back, _) = daemon.arrive(ms(600), &route, None);
+    let (retry, _) = daemon.arrive(ms(600), &route, None);
     let effects = daemon.report(ms(610), first, 1, Report::Ended);
-    assert!(matches!(&by_request(&effects)[..], [(key, Command::Dispatch(_))] if *key == back));
+    assert!(matches!(&by_request(&effects)[..], [(key, Command::Dispatch(_))] if *key == retry));
 }
 
 #[test]
-fn caller_that_comes_back_never_goes_before_a_more_urgent_one() {
-    let (mut daemon, first) = full();
+fn retry_goes_after_requests_of_higher_priority() {
+    let (mut daemon, first) = full_server();
     let usual = route("plain", Repeat::AtMostOnce, 1);
     daemon.fingerprint = Fingerprint(77);
     daemon.arrive(ms(20), &usual, None);
@@ -83,37 +83,37 @@
 }
 
 #[test]
-fn refused_are_told_to_come_back_by_what_drains_and_not_together() {
+fn retry_after_follows_queue_length_with_jitter() {
     // 200 at once for one server of two slots, some 20 ms each.
-    let (mut daemon, _) = full();
+    let (mut daemon, _) = full_server();
     let route = route("plain", Repeat::AtMostOnce, 1);
     for number in 0..200 {
         daemon.fingerprint = Fingerprint(number);
         daemon.arrive(ms(20), &route, None);
     }
-    let after = refused_after(&daemon.tick(ms(330)));
+    let after = retry_after_times(&daemon.tick(ms(330)));
     assert_eq!(after.len(), 200);
-    let (least, most) = (after.iter().min(), after.iter().max());
-    assert!(least.is_some_and(|least| *least >= ms(100)), "{least:?}");
+    let (min, max) = (after.iter().min(), after.iter().max());
+    assert!(min.is_some_and(|min| *min >= ms(100)), "{min:?}");
     // Within a third of the 5 s that the caller has.
-    assert!(most.is_some_and(|most| *most > ms(1_000) && *most < ms(1_667)), "{most:?}");
+    assert!(max.is_some_and(|max| *max > ms(1_000) && *max < ms(1_667)), "{max:?}");
     let together = after.iter().filter(|after| (ms(200)..ms(230)).contains(after)).count();
     assert!(together < 60, "{together} of 200 come back within 30 ms of each other");
 }
 
 #[test]
-fn refused_with_little_time_left_is_told_to_come_back_within_it() {
-    let (mut daemon, _) = full();
+fn retry_after_stays_within_remaining_time() {
+    let (mut daemon, _) = full_server();
     let mut short = (*route("plain", Repeat::AtMostOnce, 1)).clone();
     short.timeout = ms(900);
     daemon.arrive(ms(20), &Arc::new(short), None);
-    let after = refused_after(&daemon.tick(ms(330)));
+    let after = retry_after_times(&daemon.tick(ms(330)));
     assert!(after.len() == 1 && after[0] <= ms(200), "{after:?}");
 }
 
 #[test]
-fn burst_is_decided_within_the_time_that_it_may_wait() {
-    let (mut daemon, _) = full();
+fn burst_is_sent_or_refused_within_max_wait() {
+    let (mut daemon, _) = full_server();
     let route = route("plain", Repeat::AtMostOnce, 1);
     let mut open = BTreeSet::new();
     let mut now = ms(1_000);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn prompt_that_waited_in_vain_for_its_home_goes_to_an_idle_engine() {
+fn prompt_goes_to_idle_engine_after_waiting_for_home() {
     let engines = [("e-1", "engine 21 ready 1"), ("e-2", "engine 22 ready 1")];
     let mut daemon = Daemon::with(1, &engines);
     let route = route("engines", Repeat::Resumable, 2);
@@ -151,16 +151,16 @@
     }
     assert_eq!(homes.len(), 1, "its home takes what it can begin in time: {homes:?}");
     assert!(commands(&daemon.tick(ms(140))).is_empty());
-    let spilled = commands(&daemon.tick(ms(165)));
-    assert!(!spilled.is_empty());
-    for command in spilled {
+    let moved = commands(&daemon.tick(ms(165)));
+    assert!(!moved.is_empty());
+    for command in moved {
         let Command::Dispatch(dispatch) = command else { panic!("{command:?}") };
         assert!(!homes.contains(&dispatch.server) && dispatch.fetch_from.is_some());
     }
 }
 
 #[test]
-fn small_prompt_is_sent_where_a_large_one_would_wait() {
+fn small_prompt_is_sent_to_engine_where_large_one_waits() {
     // An engine has 300 ms of prompts to read; half of the target of 600 ms is less than that.
     let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1")]);
     let busy = Busy { running: 3, pending_tokens: 16_000, ..Busy::default() };
@@ -181,17 +181,17 @@
 }
 
 #[test]
-fn crowd_that_cannot_be_served_in_time_is_told_so_at_once() {
+fn overload_is_refused_mostly_on_arrival() {
     // Two places that take 100 ms each, and ten times as many requests as they serve.
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
-    let mut ends: Vec<(Time, Key, u32)> = Vec::new();
+    let mut running: Vec<(Time, Key, u32)> = Vec::new();
     let mut arrived: BTreeMap<Key, Time> = BTreeMap::new();
-    let (mut sent, mut at_once, mut late) = (0, 0, 0);
+    let (mut sent, mut on_arrival, mut after_wait) = (0, 0, 0);
     for step in 0..400_u64 {
         let now = ms(1_000 + step * 5);
         let mut effects = daemon.tick(now);
-        for (_, request, attempt) in ends.extract_if(.., |(at, ..)| *at <= now) {
+        for (_, request, attempt) in running.extract_if(.., |(at, ..)| *at <= now) {
             effects.extend(daemon.report(now, request, attempt, Report::Ended));
         }
         let (key, more) = daemon.arrive(now, &route, None);
@@ -200,17 +200,20 @@
         for effect in effects {
             match effect {
                 Effect::Command(key, Command::Dispatch(dispatch)) => {
-                    ends.push((now + ms(100), key, dispatch.attempt));
+                    running.push((now + ms(100), key, dispatch.attempt));
                     sent += 1;
                 }
                 Effect::Command(key, Command::Refuse(_, after)) => {
                     assert!(after > ms(0));
-                    if arrived[&key] == now { at_once += 1 } else { late += 1 }
+                    if arrived[&key] == now { on_arrival += 1 } else { after_wait += 1 }
                 }
                 _ => {}
             }
         }
     }
     assert!(sent >= 36, "{sent} of the 40 that there is room for");
-    assert!(at_once > late * 3, "{at_once} were told at once, {late} after they had waited");
+    assert!(
+        on_arrival > after_wait * 3,
+        "{on_arrival} were told at once, {after_wait} after they had waited"
+    );
 }
--- a/src/fleet/tests/naming.rs
+++ b/src/fleet/tests/naming.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn named_before_the_start_after_a_part_of_the_topic() {
+fn named_before_the_start_after_one_record_of_the_topic() {
     let mut daemon = Daemon::new(1);
     let newest = operator_topic().split_off(1);
     daemon.node.apply(ms(20), records(Topic::Operator, 5, 6, newest));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn restart_at_a_configuration_begins_nothing_on_old_weights() {
+fn restart_during_a_configuration_sends_nothing_to_old_weights() {
     for count in [3, 9, 71, 195] {
         let mut site = Site::new(count, &[("e-1", OLD), ("e-2", NEW)]);
         for daemon in &mut site.daemons {
@@ -99,7 +99,7 @@
 /// A peer that is asked for what was missed gives the newest record of each key: of weights that were named one after
 /// the other, the last. The limit counts from the first of them.
 #[test]
-fn named_one_after_the_other_while_the_store_refused_the_daemon() {
+fn named_in_succession_while_the_store_refused_the_daemon() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
     daemon.tick(ms(1_000));
     daemon.node.apply(ms(1_000), Message::Down(Tracked::Topic(Topic::Operator), "refused".into()));
@@ -114,7 +114,7 @@
 }
 
 /// A peer's digest comes, and the daemon looks at it.
-fn hear(daemon: &mut Daemon, now: Time, last: u8, sent: Time, named: Vec<Naming>) {
+fn receive_digest(daemon: &mut Daemon, now: Time, last: u8, sent: Time, named: Vec<Naming>) {
     let (peer, address) = (format!("router-{last}"), address(last).to_string());
     let digest = Digest { daemon: peer, address, sent, named, ..Digest::default() };
     daemon.node.apply(now, Message::Frame(Frame::Digest(Box::new(digest))));
@@ -122,7 +122,7 @@
 }
 
 /// A daemon that has just started and read that version 2 was named.
-fn newcomer() -> Daemon {
+fn started_daemon() -> Daemon {
     let mut daemon = Daemon::new(1);
     let named = [("version/m", "weights 2"), ("config", "table 1")];
     daemon.put(ms(20), Topic::Operator, &named);
@@ -131,10 +131,10 @@
 }
 
 #[test]
-fn named_before_the_start_is_used_for_what_is_left_by_a_peers_word() {
-    let mut daemon = newcomer();
+fn named_before_the_start_uses_the_bound_of_a_peer() {
+    let mut daemon = started_daemon();
     assert_eq!(send(&mut daemon, ms(40)), []);
-    hear(&mut daemon, ms(50), 2, ms(90_050), vec![naming(2, Some(3_000))]);
+    receive_digest(&mut daemon, ms(50), 2, ms(90_050), vec![naming(2, Some(3_000))]);
     assert_eq!(send(&mut daemon, ms(60)), [Some(1)]);
     for time in (60..3_000).step_by(100) {
         daemon.tick(ms(time));
@@ -143,41 +143,47 @@
 }
 
 #[test]
-fn hear_counts_the_least_of_what_each_peer_told_last() {
-    let mut daemon = newcomer();
-    hear(&mut daemon, ms(50), 2, ms(1_000), vec![naming(2, Some(1_000))]);
-    hear(&mut daemon, ms(70), 2, ms(1_020), vec![naming(2, Some(7_000))]);
+fn merge_uses_the_smallest_of_the_last_bounds_of_peers() {
+    let mut daemon = started_daemon();
+    receive_digest(&mut daemon, ms(50), 2, ms(1_000), vec![naming(2, Some(1_000))]);
+    receive_digest(&mut daemon, ms(70), 2, ms(1_020), vec![naming(2, Some(7_000))]);
     assert_eq!(send(&mut daemon, ms(80)), []);
-    hear(&mut daemon, ms(90), 3, ms(4_000), vec![naming(2, Some(4_000))]);
+    receive_digest(&mut daemon, ms(90), 3, ms(4_000), vec![naming(2, Some(4_000))]);
     assert_eq!(send(&mut daemon, ms(100)), [Some(1)]);
 }
 
 #[test]
-fn hear_of_an_earlier_version_that_overtook_first() {
-    let mut daemon = newcomer();
+fn merge_earlier_version_that_superseded_first() {
+    let mut daemon = started_daemon();
     daemon.put(ms(30), Topic::Operator, &[("version/m", "weights 3")]);
-    hear(&mut daemon, ms(50), 2, ms(50), vec![naming(2, None), naming(3, Some(500))]);
+    receive_digest(&mut daemon, ms(50), 2, ms(50), vec![naming(2, None), naming(3, Some(500))]);
     assert_eq!(send(&mut daemon, ms(60)), [], "nobody says when version 2 overtook");
-    hear(&mut daemon, ms(70), 2, ms(70), vec![naming(2, Some(2_000)), naming(3, Some(520))]);
+    receive_digest(
+        &mut daemon,
+        ms(70),
+        2,
+        ms(70),
+        vec![naming(2, Some(2_000)), naming(3, Some(520))],
+    );
     assert_eq!(send(&mut daemon, ms(80)), [Some(1)]);
 }
 
 #[test]
-fn hear_what_waited_while_the_daemon_was_frozen() {
+fn merge_report_delayed_while_the_daemon_was_frozen() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
     for time in (0..=1_000).step_by(50) {
         daemon.tick(ms(time));
     }
-    hear(&mut daemon, ms(1_000), 2, ms(51_000), Vec::new());
+    receive_digest(&mut daemon, ms(1_000), 2, ms(51_000), Vec::new());
     daemon.put(ms(9_001), Topic::Operator, &[("version/m", "weights 2")]);
-    hear(&mut daemon, ms(9_002), 2, ms(51_200), vec![naming(2, Some(100))]);
+    receive_digest(&mut daemon, ms(9_002), 2, ms(51_200), vec![naming(2, Some(100))]);
     assert_eq!(send(&mut daemon, ms(9_050)), []);
-    hear(&mut daemon, ms(9_500), 2, ms(59_495), vec![naming(2, Some(900))]);
+    receive_digest(&mut daemon, ms(9_500), 2, ms(59_495), vec![naming(2, Some(900))]);
     assert_eq!(send(&mut daemon, ms(9_520)), [Some(1)], "it was named lately");
 }
 
 #[test]
-fn told_by_those_who_saw_it_to_daemons_that_start() {
+fn bounds_are_reported_to_daemons_that_start() {
     let engines = [("e-1", OLD), ("e-2", OLD)];
     let mut site = Site::new(3, &engines);
     for daemon in &mut site.daemons {
@@ -199,8 +205,8 @@
         let age = site.daemons[index].node.superseded_for(site.now, "m", 1);
         let age = age.expect("version 2 was named");
         let true_age = site.now - named_at;
-        let saw = index < 2;
-        assert_eq!(saw, age < true_age + ms(200), "{age:?} {true_age:?}");
+        let has_peer_that_read_it = index < 2;
+        assert_eq!(has_peer_that_read_it, age < true_age + ms(200), "{age:?} {true_age:?}");
         assert!(age >= true_age, "{age:?} {true_age:?}");
     }
 }
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn limit_counts_from_the_first_version_that_overtook() {
+fn limit_counts_from_the_first_superseding_version() {
     let mut daemon = Daemon::with(1, &ENGINES);
     daemon.put(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
     daemon.put(ms(5_000), Topic::Operator, &[("version/m", "weights 3")]);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn request_that_waits_at_an_engine_is_taken_back_before_its_weights_are_too_old() {
+fn request_that_waits_at_an_engine_is_recalled_before_the_weights_limit() {
     for repeat in [Repeat::Resumable, Repeat::AtMostOnce] {
         let mut daemon = Daemon::with(1, &ENGINES[..2]);
         daemon.hear_store(ms(1_000));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn refusal_for_other_weights_is_learnt_from() {
+fn refusal_for_other_weights_updates_the_known_version() {
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 3)));
@@ -136,12 +136,12 @@
                 let mut effects = self.daemons[index].node.apply(now, read);
                 effects.extend(self.daemons[index].hear_store(now));
                 effects.extend(self.daemons[index].tick(now));
-                self.carry(now, index, effects);
+                self.apply_effects(now, index, effects);
             }
         }
     }
 
-    fn carry(&mut self, now: Time, index: usize, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, now: Time, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::AppendLease(text) => self.log.push(text),
@@ -158,7 +158,7 @@
                     for peer in peers.collect::<Vec<usize>>() {
                         let message = Message::Frame(frame.clone());
                         let effects = self.daemons[peer].node.apply(now, message);
-                        self.carry(now, peer, effects);
+                        self.apply_effects(now, peer, effects);
                     }
                 }
                 _ => {}
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn one_daemon_orders_every_engine_and_a_few_at_a_time() {
+fn one_daemon_orders_all_engines_a_few_at_a_time() {
     let mut site = Site::new(3);
     site.run(ms(0), ms(5_000));
     site.name(ms(5_000), 2);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn overtaken_version_is_skipped() {
+fn superseded_version_is_skipped() {
     let mut site = Site::new(2);
     site.run(ms(0), ms(5_000));
     site.name(ms(5_000), 2);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn frozen_holder_is_replaced_under_a_higher_fence_and_orders_no_more() {
+fn frozen_lease_holder_is_replaced_with_a_higher_fence_and_stops_ordering() {
     let mut site = Site::new(3);
     site.run(ms(0), ms(5_000));
     site.name(ms(5_000), 2);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn unknown_order_is_asked_about_before_another_is_given() {
+fn unknown_order_is_polled_before_the_next_order() {
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     daemon.tick(ms(4_000));
     daemon.put(ms(4_000), Topic::Operator, &[("version/m", "weights 2")]);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn engine_that_does_not_answer_an_order_serves_on_and_holds_up_no_other() {
+fn unanswered_order_keeps_its_engine_serving_and_delays_no_other() {
     let mut site = Site::new(1);
     site.run(ms(0), ms(5_000));
     site.name(ms(5_000), 2);
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn lease_is_not_waited_for_long_by_those_who_may_take_it() {
+fn lease_candidates_wait_briefly_for_records() {
     // What a silent store swallows is noticed after the wait, and weights are due within the limit.
     let mut site = Site::new(5);
     site.run(ms(0), ms(1_000));
@@ -304,59 +304,73 @@
 }
 
 /// Time until all of `engines` have loaded and the most that did at once, where each load takes
-/// `alone`, and longer while more than `bears` go on, by the square of how many more.
-fn roll(engines: usize, bears: usize, alone: Duration, most: impl Fn(&Limiter) -> usize) -> Time {
-    let (mut loading, mut now, mut done, mut begun) = (Limiter::default(), ms(0), 0, 0);
-    let mut under_way: Vec<(Time, f64)> = Vec::new();
+/// `load_time`, and longer while more than `capacity` go on, by the square of how many more.
+fn simulate_rollout(
+    engines: usize,
+    capacity: usize,
+    load_time: Duration,
+    limit: impl Fn(&Limiter) -> usize,
+) -> Time {
+    let (mut limiter, mut now, mut done, mut started) = (Limiter::default(), ms(0), 0, 0);
+    let mut loads: Vec<(Time, f64)> = Vec::new();
     while done < engines {
-        while begun < engines && under_way.len() < most(&loading) {
-            under_way.push((now, 0.0));
-            begun += 1;
+        while started < engines && loads.len() < limit(&limiter) {
+            loads.push((now, 0.0));
+            started += 1;
         }
         now += ms(10);
-        let slowed = (under_way.len() as f64 / bears as f64).max(1.0).powi(2);
-        let step = 0.010 / alone.as_secs_f64() / slowed;
-        for (_, part) in &mut under_way {
+        let slowdown = (loads.len() as f64 / capacity as f64).max(1.0).powi(2);
+        let step = 0.010 / load_time.as_secs_f64() / slowdown;
+        for (_, part) in &mut loads {
             *part += step;
         }
-        for (since, _) in under_way.iter().filter(|(_, part)| *part >= 1.0) {
-            loading.note_load(now, engines, now - *since);
+        for (since, _) in loads.iter().filter(|(_, part)| *part >= 1.0) {
+            limiter.note_load(now, engines, now - *since);
             done += 1;
         }
-        under_way.retain(|(_, part)| *part < 1.0);
+        loads.retain(|(_, part)| *part < 1.0);
     }
     now
 }
 
 #[test]
-fn loads_go_on_in_as_great_a_number_as_is_seen_to_be_borne() {
-    for (engines, bears, alone) in
+fn limiter_adapts_to_the_capacity_of_the_source() {
+    for (engines, capacity, load_time) in
         [(78, 15, 570), (18, 3, 570), (9, 2, 830), (72, 14, 830), (40, 40, 200), (60, 3, 300)]
     {
         let limit = Duration::from_secs(10);
-        let learnt = roll(engines, bears, ms(alone), |l| l.max_concurrent(engines, limit, false));
-        let quarter = roll(engines, bears, ms(alone), |_| engines.div_ceil(4));
+        let adaptive = simulate_rollout(engines, capacity, ms(load_time), |l| {
+            l.max_concurrent(engines, limit, false)
+        });
+        let quarter = simulate_rollout(engines, capacity, ms(load_time), |_| engines.div_ceil(4));
         // Where a quarter at once is borne, beginning lower costs a little; elsewhere it gains.
-        assert!(learnt <= quarter.mul_f64(1.6), "{engines}, {bears}: {learnt:?}, {quarter:?}");
-        if engines.div_ceil(4) > bears {
-            assert!(learnt < quarter, "{engines}, {bears}: {learnt:?}, {quarter:?}");
+        assert!(
+            adaptive <= quarter.mul_f64(1.6),
+            "{engines}, {capacity}: {adaptive:?}, {quarter:?}"
+        );
+        if engines.div_ceil(4) > capacity {
+            assert!(adaptive < quarter, "{engines}, {capacity}: {adaptive:?}, {quarter:?}");
         }
-        assert!(learnt < limit || quarter > limit, "{engines}, {bears}: {learnt:?}");
+        assert!(adaptive < limit || quarter > limit, "{engines}, {capacity}: {adaptive:?}");
     }
 }
 
 #[test]
-fn weights_named_again_and_again_put_no_more_engines_to_loading() {
+fn repeated_namings_keep_the_limit_on_concurrent_loads() {
     let mut site = Site::new(3);
     site.run(ms(0), ms(5_000));
-    let mut most = 0;
+    let mut max_loading = 0;
     for version in 2..8 {
         let now = ms(5_000 + (version - 2) * 2_000);
         site.name(now, version);
         for step in 0..20 {
             site.run(now + ms(step * 100), now + ms(step * 100 + 100));
-            most = most.max(site.loading.len());
+            max_loading = max_loading.max(site.loading.len());
         }
     }
-    assert!(most <= ENGINES.len().div_ceil(4), "{most} of {} loaded at once", ENGINES.len());
+    assert!(
+        max_loading <= ENGINES.len().div_ceil(4),
+        "{max_loading} of {} loaded at once",
+        ENGINES.len()
+    );
 }
