--- a/src/fleet/tests/admission.rs
+++ b/src/fleet/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Load at its worst: what waits, in which order, what is refused, and when it may come back.
+//! Overload: queue order, refusals and retry-after times.
 
 use super::world::*;
 use crate::fleet::*;
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 use crate::route::Repeat;
 
-/// The commands among `effects` by request.
+/// The commands in `effects`, with their requests.
 fn by_request(effects: &[Effect]) -> Vec<(Key, Command)> {
     let command = |effect: &Effect| match effect {
         Effect::Command(key, command) => Some((*key, command.clone())),
@@ -15,7 +15,7 @@
     effects.iter().filter_map(command).collect()
 }
 
-/// A daemon whose only server is full, and the request whose end makes room.
+/// A daemon whose only server is full, and the request that frees a slot when it ends.
 fn full_server() -> (Daemon, Key) {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
@@ -84,7 +84,7 @@
 
 #[test]
 fn retry_after_follows_queue_length_with_jitter() {
-    // 200 at once for one server of two slots, some 20 ms each.
+    // 200 requests at once for one server with two slots, one per some 20 ms.
     let (mut daemon, _) = full_server();
     let route = route("plain", Repeat::AtMostOnce, 1);
     for number in 0..200 {
@@ -95,10 +95,10 @@
     assert_eq!(after.len(), 200);
     let (min, max) = (after.iter().min(), after.iter().max());
     assert!(min.is_some_and(|min| *min >= ms(100)), "{min:?}");
-    // Within a third of the 5 s that the caller has.
+    // The maximum is a third of the 5 s that remain for the request.
     assert!(max.is_some_and(|max| *max > ms(1_000) && *max < ms(1_667)), "{max:?}");
     let together = after.iter().filter(|after| (ms(200)..ms(230)).contains(after)).count();
-    assert!(together < 60, "{together} of 200 come back within 30 ms of each other");
+    assert!(together < 60, "{together} of 200 retry within the same 30 ms");
 }
 
 #[test]
@@ -149,7 +149,7 @@
             homes.insert(dispatch.server);
         }
     }
-    assert_eq!(homes.len(), 1, "its home takes what it can begin in time: {homes:?}");
+    assert_eq!(homes.len(), 1, "only the home receives requests at first: {homes:?}");
     assert!(commands(&daemon.tick(ms(140))).is_empty());
     let moved = commands(&daemon.tick(ms(165)));
     assert!(!moved.is_empty());
@@ -161,7 +161,7 @@
 
 #[test]
 fn small_prompt_is_sent_to_engine_where_large_one_waits() {
-    // An engine has 300 ms of prompts to read; half of the target of 600 ms is less than that.
+    // The engine has 320 ms of prompts to read, which is more than half of the target of 600 ms.
     let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1")]);
     let busy = Busy { running: 3, pending_tokens: 16_000, ..Busy::default() };
     let digest = Digest {
@@ -182,7 +182,7 @@
 
 #[test]
 fn overload_is_refused_mostly_on_arrival() {
-    // Two places that take 100 ms each, and ten times as many requests as they serve.
+    // Two slots, 100 ms per request, and ten times as many requests as they can serve.
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let mut running: Vec<(Time, Key, u32)> = Vec::new();
@@ -211,9 +211,9 @@
             }
         }
     }
-    assert!(sent >= 36, "{sent} of the 40 that there is room for");
+    assert!(sent >= 36, "{sent} requests sent; there is room for 40");
     assert!(
         on_arrival > after_wait * 3,
-        "{on_arrival} were told at once, {after_wait} after they had waited"
+        "{on_arrival} were refused on arrival, {after_wait} after a wait"
     );
 }
--- a/src/fleet/tests/naming.rs
+++ b/src/fleet/tests/naming.rs
@@ -1,11 +1,12 @@
-//! When weights were named, as daemons believe that did not see it.
+//! Bounds on the age of namings at daemons that did not read them at once.
 //!
-//! Requests began on weights that had been replaced 16 to 20 s before, where 10 s is the limit, at a daemon that had
-//! just started among daemons that had not. A configuration had been acknowledged as it started, and its peers told
-//! it of that one record at once: `SnapshotTaken records=1` 0.3 ms after `Started`. One record of the topic counted as
-//! the topic, so the version that it read from the store a moment later counted as named after its start
-//! (`WeightsNamed version=2 age=known`, as it was logged then, and `AttemptSent weights=1 overtaken_ms=6`, 14.6 s after the naming). Daemons
-//! that started without such a record said `age=unknown` and sent nothing there.
+//! Guards against a daemon that starts among running ones and sends requests to weights that were
+//! replaced 16 to 20 s before, where the limit is 10 s. Its peers had sent it one record of the
+//! operators' topic, a configuration that was acknowledged as it started (`SnapshotTaken records=1`
+//! 0.3 ms after `Started`). It took this record for the whole topic, and the version that it read
+//! from the store a moment later for named after its start (`AttemptSent weights=1 overtaken_ms=6`,
+//! 14.6 s after the naming). Daemons that started without such a record treated the age as unknown
+//! and sent nothing there.
 
 use super::site::Site;
 use super::world::*;
@@ -16,7 +17,7 @@
 const OLD: &str = "engine 201 ready 1";
 const NEW: &str = "engine 202 ready 2";
 
-/// The newest records of all keys of the operators' topic, one of which was named long before.
+/// The newest records of all keys of the operators' topic; the version was named long before.
 fn operator_topic() -> Vec<Record> {
     let record = |key: &str, offset, value: &str| Record {
         key: key.into(),
@@ -30,7 +31,7 @@
     Message::Frame(Frame::Records(Batch { topic, from, to, records }))
 }
 
-/// Sends a request of the engines' route; the weights that it is sent to.
+/// Sends a request on the engines' route and returns the weights of its dispatches.
 fn send(daemon: &mut Daemon, now: Time) -> Vec<Option<u64>> {
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(now, &route, Some(prompt(7, 3)));
@@ -61,7 +62,7 @@
         }
         site.now += POLICY.weights_limit + ms(2_000);
         site.pass(ms(1_000));
-        // It starts again, and the others read a configuration at the same moment.
+        // The daemon restarts, and the others read a configuration at the same moment.
         let last = usize::from(count) - 1;
         site.daemons[last] = Daemon::new(count);
         for index in 0..last {
@@ -84,8 +85,8 @@
     }
 }
 
-/// Weights may have been named at any time since a daemon last knew that none were. One that was frozen for eight
-/// seconds took them for named when it woke and read of them.
+/// Weights may have been named at any time since a daemon last had all records. Guards against a
+/// daemon that was frozen for eight seconds and takes a version for named at its resumption.
 #[test]
 fn named_while_the_daemon_was_frozen() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
@@ -96,8 +97,8 @@
     assert_eq!(send(&mut daemon, ms(9_050)), []);
 }
 
-/// A peer that is asked for what was missed gives the newest record of each key: of weights that were named one after
-/// the other, the last. The limit counts from the first of them.
+/// A peer that is asked for missed records returns the newest record of each key: of versions named
+/// in succession, only the last. The limit counts from the first.
 #[test]
 fn named_in_succession_while_the_store_refused_the_daemon() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
@@ -113,7 +114,7 @@
     Naming { model: "m".into(), version, age: age_ms.map(ms) }
 }
 
-/// A peer's digest comes, and the daemon looks at it.
+/// Receives the digest of a peer, and runs the next tick.
 fn receive_digest(daemon: &mut Daemon, now: Time, last: u8, sent: Time, named: Vec<Naming>) {
     let (peer, address) = (format!("router-{last}"), address(last).to_string());
     let digest = Digest { daemon: peer, address, sent, named, ..Digest::default() };
@@ -121,7 +122,7 @@
     daemon.tick(now + ms(5));
 }
 
-/// A daemon that has just started and read that version 2 was named.
+/// A daemon that has just started and has read that version 2 was named.
 fn started_daemon() -> Daemon {
     let mut daemon = Daemon::new(1);
     let named = [("version/m", "weights 2"), ("config", "table 1")];
@@ -157,7 +158,7 @@
     let mut daemon = started_daemon();
     daemon.put(ms(30), Topic::Operator, &[("version/m", "weights 3")]);
     receive_digest(&mut daemon, ms(50), 2, ms(50), vec![naming(2, None), naming(3, Some(500))]);
-    assert_eq!(send(&mut daemon, ms(60)), [], "nobody says when version 2 overtook");
+    assert_eq!(send(&mut daemon, ms(60)), [], "no peer knows when version 2 was named");
     receive_digest(
         &mut daemon,
         ms(70),
@@ -179,7 +180,7 @@
     receive_digest(&mut daemon, ms(9_002), 2, ms(51_200), vec![naming(2, Some(100))]);
     assert_eq!(send(&mut daemon, ms(9_050)), []);
     receive_digest(&mut daemon, ms(9_500), 2, ms(59_495), vec![naming(2, Some(900))]);
-    assert_eq!(send(&mut daemon, ms(9_520)), [Some(1)], "it was named lately");
+    assert_eq!(send(&mut daemon, ms(9_520)), [Some(1)], "version 2 was named recently");
 }
 
 #[test]
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Weights that operators name: who may begin on which, and who orders engines.
+//! Rollout of weights: the versions that requests may begin on, and the orders to engines.
 
 use super::world::*;
 use crate::fleet::loading::Limiter;
@@ -81,14 +81,14 @@
     assert_eq!(dispatch(&effects).weights, Some(2));
 }
 
-/// Daemons that share a lease log and engines which carry orders out in 500 ms.
+/// Daemons that share a lease log, and engines that execute an order in 500 ms.
 struct Site {
     daemons: Vec<Daemon>,
     log: Vec<String>,
-    /// Orders: when, the daemon, the engine, the version, the fence.
+    /// Orders: time, daemon, engine, version, fence.
     orders: Vec<(Time, usize, String, u64, u64)>,
     loading: Vec<(Time, usize, String, u64)>,
-    /// Daemons that are stopped in their tracks.
+    /// Daemons that are suspended.
     frozen: BTreeSet<usize>,
 }
 
@@ -130,7 +130,7 @@
                 let next = self.daemons[index].node.next_lease();
                 let records: Vec<(u64, String)> = (0..)
                     .zip(self.log.iter().cloned())
-                    .skip(usize::try_from(next).expect("it is small"))
+                    .skip(usize::try_from(next).expect("lease offset fits in usize"))
                     .collect();
                 let read = Message::Lease(0, records);
                 let mut effects = self.daemons[index].node.apply(now, read);
@@ -203,7 +203,7 @@
     site.run(ms(5_600), ms(12_000));
     let second = site.orders.iter().filter(|order| order.3 == 2).count();
     let third = site.orders.iter().filter(|order| order.3 == 3).count();
-    assert!(second < ENGINES.len(), "{second} engines were ordered to load what was overtaken");
+    assert!(second < ENGINES.len(), "{second} engines were ordered to load a superseded version");
     assert_eq!(third, ENGINES.len());
 }
 
@@ -217,16 +217,16 @@
     site.frozen.insert(first_holder);
     site.run(ms(5_300), ms(12_000));
     let later: Vec<_> = site.orders.iter().filter(|order| order.1 != first_holder).collect();
-    assert!(!later.is_empty(), "nobody took over");
+    assert!(!later.is_empty(), "no other daemon took over the lease");
     assert!(later.iter().all(|order| order.4 > first_fence));
-    // It wakes while versions are named, long after its lease ran out by its own clock.
+    // It resumes while versions are named, long after its lease has expired by its own clock.
     let before = site.orders.len();
     site.frozen.clear();
     site.name(ms(12_000), 4);
     site.run(ms(12_000), ms(20_000));
     let mut highest = 0;
     for order in &site.orders[before..] {
-        assert!(order.4 >= highest, "a lower fence followed {highest}: {order:?}");
+        assert!(order.4 >= highest, "an order with a lower fence followed {highest}: {order:?}");
         highest = order.4;
     }
 }
@@ -241,18 +241,18 @@
         Effect::AppendLease(text) => Some(text.clone()),
         _ => None,
     });
-    let record = record.expect("the lease is free");
+    let record = record.expect("the daemon claims the free lease");
     let effects = daemon.node.apply(ms(4_030), Message::Lease(0, vec![(0, record)]));
     let server = effects.iter().find_map(|effect| match effect {
         Effect::Order { server, expect: 0, .. } => Some(*server),
         _ => None,
     });
-    let server = server.expect("the engine lacks what was named");
+    let server = server.expect("the engine is ordered to load the named version");
     daemon.node.apply(ms(4_100), Message::Ordered(server, OrderEnd::Unknown));
     let effects = daemon.tick(ms(4_120));
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Poll(..))));
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Order { .. })));
-    // It had been taken: the engine has taken one order, and is told so by the next.
+    // The engine had accepted the order: it reports one order, and the next order expects that.
     let weights = BTreeMap::from([("m".to_owned(), 1)]);
     let state = State { weights, busy: false, sequence: 1, born: 0 };
     daemon.node.apply(ms(4_200), Message::Polled(server, Some(state)));
@@ -265,13 +265,14 @@
     let mut site = Site::new(1);
     site.run(ms(0), ms(5_000));
     site.name(ms(5_000), 2);
-    // Orders reach nobody: each is given, and none is accepted.
+    // Orders reach no engine: each is sent, and none is accepted.
     let mut given = BTreeSet::new();
     for now in (5_000..9_500).step_by(20) {
         let daemon = &mut site.daemons[0];
         let next = daemon.node.next_lease();
         let log = (0..).zip(site.log.iter().cloned());
-        let records = log.skip(usize::try_from(next).expect("it is small")).collect();
+        let records =
+            log.skip(usize::try_from(next).expect("lease offset fits in usize")).collect();
         let mut effects = daemon.node.apply(ms(now), Message::Lease(0, records));
         effects.extend(daemon.tick(ms(now)));
         for effect in effects {
@@ -284,27 +285,28 @@
             }
         }
     }
-    assert_eq!(given.len(), ENGINES.len(), "the others are not ordered: {given:?}");
+    assert_eq!(given.len(), ENGINES.len(), "only some engines were ordered: {given:?}");
     assert_eq!(send(&mut site.daemons[0], ms(9_600)).len(), 1);
 }
 
 #[test]
 fn lease_candidates_wait_briefly_for_records() {
-    // What a silent store swallows is noticed after the wait, and weights are due within the limit.
+    // A read that is lost in an outage of the store is noticed after the wait, and weights are due
+    // within the limit.
     let mut site = Site::new(5);
     site.run(ms(0), ms(1_000));
     site.name(ms(1_000), 2);
     site.run(ms(1_000), ms(1_200));
     let wait = |daemon: &Daemon| daemon.node.max_read_wait(ms(1_200), Tracked::Lease);
     let mut waits: Vec<Duration> = site.daemons.iter().map(wait).collect();
-    // Whichever three rank first.
+    // The three daemons that rank first are the candidates.
     waits.sort_unstable();
     assert!(waits[..3].iter().all(|wait| *wait * 3 < POLICY.weights_limit), "{waits:?}");
     assert!(waits[3..].iter().all(|wait| *wait > waits[0]), "{waits:?}");
 }
 
-/// Time until all of `engines` have loaded and the most that did at once, where each load takes
-/// `load_time`, and longer while more than `capacity` go on, by the square of how many more.
+/// Time until all `engines` have loaded. A load takes `load_time`; with more than `capacity`
+/// concurrent loads it slows down by the square of their ratio.
 fn simulate_rollout(
     engines: usize,
     capacity: usize,
@@ -343,7 +345,8 @@
             l.max_concurrent(engines, limit, false)
         });
         let quarter = simulate_rollout(engines, capacity, ms(load_time), |_| engines.div_ceil(4));
-        // Where a quarter at once is borne, beginning lower costs a little; elsewhere it gains.
+        // If the source bears a quarter of the engines at once, a lower start costs a little;
+        // otherwise it gains.
         assert!(
             adaptive <= quarter.mul_f64(1.6),
             "{engines}, {capacity}: {adaptive:?}, {quarter:?}"
