--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -80,10 +80,10 @@
 
     /// Whether a request was refused recently. An own refusal counts once.
     pub(super) fn is_retry(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
-        let lately = |at: Option<Time>| at.is_some_and(|at| now < at + REFUSAL_LIFETIME);
-        let own = lately(self.own.remove(&fingerprint));
+        let is_recent = |at: Option<Time>| at.is_some_and(|at| now < at + REFUSAL_LIFETIME);
+        let own = is_recent(self.own.remove(&fingerprint));
         // Peers may report a refusal again, so it is kept until it expires.
-        own || lately(self.from_peers.get(&fingerprint).copied())
+        own || is_recent(self.from_peers.get(&fingerprint).copied())
     }
 
     /// Removes a refusal that promised the caller nothing.
@@ -244,29 +244,31 @@
         let Some(request) = self.requests.get(&key) else { return MIN_RETRY_AFTER };
         let keys = self.pools.get(&request.pool).map(Vec::as_slice).unwrap_or_default();
         let servers = keys.iter().filter_map(|key| Some((*key, self.servers.get(*key)?)));
-        let open = servers.filter(|(key, server)| self.accepts_work(now, *key, server));
+        let available = servers.filter(|(key, server)| self.accepts_work(now, *key, server));
         // An engine reads one prompt after another; a plain server runs several requests at once.
-        let (each_ms, at_a_time) = match &request.arrival.prompt {
-            Some(prompt) => (unshared_ms(prompt), open.count()),
-            None => (PLAIN_REQUEST_MS, open.map(|(_, server)| server.entry.slots as usize).sum()),
+        let (request_ms, concurrency) = match &request.arrival.prompt {
+            Some(prompt) => (unshared_ms(prompt), available.count()),
+            None => {
+                (PLAIN_REQUEST_MS, available.map(|(_, server)| server.entry.slots as usize).sum())
+            }
         };
-        let left = Self::max_retry_after(now, request);
+        let limit = Self::max_retry_after(now, request);
         let ahead = self.count_ahead(Position::of(key, request), &request.pool);
         // All requests wait at a scheduler; any other daemon assumes an equal queue at each
         // daemon.
         let daemons = if self.is_scheduler(now) { 1 } else { self.daemons() };
-        let work_ms = (ahead + 1) as f64 * daemons as f64 * each_ms;
-        let drained = match at_a_time {
+        let work_ms = (ahead + 1) as f64 * daemons as f64 * request_ms;
+        let queue_time = match concurrency {
             0 => NO_SERVER_RETRY_AFTER,
-            _ => Duration::from_secs_f64(work_ms / at_a_time as f64 / 1_000.0),
+            _ => Duration::from_secs_f64(work_ms / concurrency as f64 / 1_000.0),
         };
-        self.with_jitter(drained).min(left.max(MIN_RETRY_AFTER / 2))
+        self.with_jitter(queue_time).min(limit.max(MIN_RETRY_AFTER / 2))
     }
 
     /// Adds jitter to a retry-after time, so that callers refused together do not retry together.
     pub(super) fn with_jitter(&mut self, after: Duration) -> Duration {
-        let spread = 1.0 + RETRY_AFTER_JITTER_RATIO * (self.rng.f64() * 2.0 - 1.0);
-        after.max(MIN_RETRY_AFTER).mul_f64(spread)
+        let factor = 1.0 + RETRY_AFTER_JITTER_RATIO * (self.rng.f64() * 2.0 - 1.0);
+        after.max(MIN_RETRY_AFTER).mul_f64(factor)
     }
 
     /// Maximum time for which a request may wait for a server.
--- a/src/fleet/loading.rs
+++ b/src/fleet/loading.rs
@@ -37,13 +37,13 @@
         if urgent {
             return ceiling;
         }
-        let first = engines.div_ceil(INITIAL_DIVISOR);
-        let wanted = self.concurrency.map_or(first, |concurrency| concurrency as usize);
-        let in_time = self.shortest.map_or(1, |shortest| {
+        let initial = engines.div_ceil(INITIAL_DIVISOR);
+        let adaptive = self.concurrency.map_or(initial, |concurrency| concurrency as usize);
+        let required = self.shortest.map_or(1, |shortest| {
             let rounds = limit.as_secs_f64() * LIMIT_RATIO / shortest.as_secs_f64().max(0.001);
             (engines as f64 / rounds.max(1.0)).ceil() as usize
         });
-        wanted.max(in_time).clamp(1, ceiling)
+        adaptive.max(required).clamp(1, ceiling)
     }
 
     /// Records that one of `engines` took the time `took` for a load.
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -105,8 +105,8 @@
             // The wait differs by daemon: a record ends all waits at once, and with equal waits no
             // daemon would have asked later than another when the next record comes.
             Tracked::Topic(Topic::Operator) => {
-                let part = xxh3_64(self.identity.id.as_bytes()) % OPERATOR_WAIT_STEPS;
-                MAX_OPERATOR_WAIT - MAX_OPERATOR_WAIT / 2 * part as u32 / OPERATOR_WAIT_STEPS as u32
+                let step = xxh3_64(self.identity.id.as_bytes()) % OPERATOR_WAIT_STEPS;
+                MAX_OPERATOR_WAIT - MAX_OPERATOR_WAIT / 2 * step as u32 / OPERATOR_WAIT_STEPS as u32
             }
             Tracked::Topic(_) => DEFAULT_WAIT,
             Tracked::Lease if self.rank_among_daemons() >= LEASE_CANDIDATES => DEFAULT_WAIT,
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -257,10 +257,10 @@
             + tried_ms;
         let spare = || sources.spare(key, &server.entry.zone, supply.read);
         let source = supply.source.clone().or_else(spare);
-        let own = prompt.input.saturating_sub(shared);
+        let unshared = prompt.input.saturating_sub(shared);
         let choice = Choice {
             server: key,
-            read_tokens: own.saturating_add(supply.read),
+            read_tokens: unshared.saturating_add(supply.read),
             held_tokens: held,
             fetched_tokens: supply.fetched,
             salt: Some(salt.to_owned()),
--- a/src/fleet/residency/mod.rs
+++ b/src/fleet/residency/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each engine, and the KV store, tells by numbered events what it keeps. One daemon reads the events
 //! of each and tells its peers what concerns parts that are worth a transfer ([`Told`]); another takes
-//! over when it falls silent. Beliefs are kept by what a part is cached under ([`super::prompt::keyed`]),
+//! over when it falls silent. Beliefs are kept by what a part is cached under ([`super::prompt::salted_key`]),
 //! so that other weights' or another workspace's memory is never mistaken for a prompt's own, and they
 //! end with the life of the server that they are about.
 
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -76,12 +76,12 @@
     }
 
     fn merge_namings(&mut self, now: Time) {
-        let mut named = self.rollout.own_namings.clone();
+        let mut merged = self.rollout.own_namings.clone();
         for peer in self.peers.values() {
             let (Some(digest), Some(heard)) = (&peer.digest, peer.heard) else { continue };
-            named.merge_peer(now, &digest.named, heard, peer.delay());
+            merged.merge_peer(now, &digest.named, heard, peer.delay());
         }
-        self.rollout.merged_namings = named;
+        self.rollout.merged_namings = merged;
     }
 
     /// Maximum time since a version after this one was named; `None` if none was.
@@ -127,10 +127,10 @@
                 continue;
             }
             for (model, version) in &server.entry.weights {
-                if let Some(wanted) =
+                if let Some(newest) =
                     self.rollout.merged_namings.newest(model).filter(|newest| newest > version)
                 {
-                    outdated.push((key, model.clone(), wanted));
+                    outdated.push((key, model.clone(), newest));
                 }
             }
         }
@@ -201,8 +201,8 @@
     fn max_loading(&self, pool: &str, urgent: bool) -> usize {
         let limit = self.policy.weights_limit;
         let engines = self.pools.get(pool).map_or(1, Vec::len);
-        let loads = self.rollout.limiters.get(pool).copied().unwrap_or_default();
-        loads.max_concurrent(engines, limit, urgent)
+        let limiter = self.rollout.limiters.get(pool).copied().unwrap_or_default();
+        limiter.max_concurrent(engines, limit, urgent)
     }
 
     fn order_load(&mut self, now: Time, key: server::Key, model: String, version: u64, fence: u64) {
