--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -19,7 +19,7 @@
 
 /// Maximum wait for a server: the route's target divided by this.
 const MAX_WAIT_DIVISOR: u32 = 2;
-/// Minimum retry-after time: the overload that delayed the request has lasted longer.
+/// Minimum retry-after time: the condition that delayed the request has already lasted longer.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Retry-after time while no server of the pool accepts work: a load of weights, and a pause after
 /// failures, take about this long.
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether a request was refused recently. An own refusal counts once.
+    /// Whether a request was refused recently. A refusal by this daemon counts once.
     pub(super) fn is_retry(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let is_recent = |at: Option<Time>| at.is_some_and(|at| now < at + REFUSAL_LIFETIME);
         let own = is_recent(self.own.remove(&fingerprint));
@@ -173,9 +173,9 @@
         }
     }
 
-    /// The waiting requests to try next: the first in order, and as many of the others, continuing
-    /// where the last pass ended. The prompts of the first ones may have no parts on the server
-    /// that has room.
+    /// Returns the waiting requests to try next: the first in order, and as many of the others,
+    /// continuing where the last pass ended. A server with room may hold none of the parts of the
+    /// first ones.
     fn next_batch(&mut self) -> Vec<Position> {
         let mut batch: Vec<Position> = self.waiting.iter().take(DISPATCH_BATCH).copied().collect();
         let Some(last) = batch.last().copied() else { return batch };
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Work per second of all daemons for a part, as far as peers report it among their hottest
-    /// parts.
+    /// Work per second for a part: that of this daemon, and that of peers that report the part
+    /// among their hottest.
     fn load_ms_per_s(&self, now: Time, part: u64) -> f64 {
         self.heat.rate(now, prefix::Key(part)) + self.told_heat(now, part)
     }
--- a/src/fleet/naming.rs
+++ b/src/fleet/naming.rs
@@ -1,10 +1,9 @@
-//! Bounds the time since versions of weights were named.
+//! Keeps an upper bound of the time since each version of weights was named.
 //!
 //! Records carry no time of writing, and a daemon that was frozen, partitioned or stopped reads
-//! them late. It knows until when it had received all records of operators: a version that it reads
-//! afterwards was named after that time. So it keeps for each version an upper bound of the time
-//! since it was named. Daemons exchange the bounds that they derived themselves; the smallest
-//! counts, since all of them hold.
+//! them late. But it knows until when it had all records of the operators' topic: a version that it
+//! reads afterwards was named after that time, which bounds the age of the version. Daemons
+//! exchange the bounds that they derived themselves. The smallest counts, since all of them hold.
 
 use crate::prelude::*;
 
--- a/src/fleet/pace.rs
+++ b/src/fleet/pace.rs
@@ -2,8 +2,9 @@
 //!
 //! Each read is charged, and the rate limits of the store apply to all daemons together. The
 //! schedulers and some daemons ranked after them read for all, so that a partition of a few daemons
-//! doesn't leave the others without news. The rest read only while no scheduler has read recently.
-//! The scheduler of a topic passes on whatever one daemon reads, and a daemon that missed it asks.
+//! does not leave the others without updates. The rest read only while no scheduler has read
+//! recently. The scheduler of a topic forwards what any daemon reads to all; a daemon that missed
+//! an update asks for it.
 
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -11,7 +11,7 @@
 use super::{Key, Node, Place, Prompt, Server, Topic, server};
 use crate::prelude::*;
 
-/// Cost of a shared token that this server lacks and another holds. A transfer costs a fifth of it;
+/// Cost of a shared token that the server lacks and another holds. A transfer costs a fifth of it;
 /// if the transfer fails, reading the token again costs more than a late answer.
 const REREAD_PENALTY_MS_PER_TOKEN: f64 = 0.05;
 /// Silence of a server that is normal: a large prompt takes this long, and peers report with a
@@ -23,7 +23,7 @@
 const DELAY_MS_PER_RUNNING_REQUEST: f64 = 2.0;
 /// Cost of a server in another availability zone: two crossings, and the price of the bytes.
 const CROSS_ZONE_PENALTY_MS: f64 = 2.0;
-/// Cost of a start on superseded weights once [`OLD_WEIGHTS_GRACE`] has passed.
+/// Cost of a start on superseded weights after [`OLD_WEIGHTS_GRACE`].
 const OLD_WEIGHTS_PENALTY_MS: f64 = 120.0;
 /// Time after new weights are named in which a start on older ones keeps its full value.
 const OLD_WEIGHTS_GRACE: Duration = Duration::from_millis(1_300);
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -29,7 +29,7 @@
     merged_namings: Namings,
     /// Whether peers have reported since the last merge.
     pub(super) merge_is_stale: bool,
-    /// Time until which this daemon has received all records of the operators' topic.
+    /// Time until which this daemon is known to have all records of the operators' topic.
     pub(super) complete_until: Option<Time>,
     /// Start of the period in which engines have older weights.
     outdated_since: Option<Time>,
@@ -40,14 +40,14 @@
 }
 
 impl Rollout {
-    /// Whether engines have older weights than the newest.
+    /// Whether engines lack the newest weights.
     pub(super) fn is_active(&self) -> bool {
         self.outdated_since.is_some()
     }
 }
 
 impl Node {
-    /// Records that this daemon has received all records of operators written until `at`.
+    /// Records that this daemon has all records of the operators' topic written until `at`.
     pub(super) fn note_complete_until(&mut self, at: Time) {
         let known = self.rollout.complete_until.get_or_insert(at);
         *known = at.max(*known);
