--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -49,7 +49,7 @@
 
 impl Turn {
     pub(super) fn of(key: Key, request: &Request) -> Self {
-        Self { rank: Node::rank(request), newcomer: !request.returned, key }
+        Self { rank: Node::rank(request), newcomer: !request.refused_before, key }
     }
 }
 
@@ -213,7 +213,7 @@
 
     pub(super) fn refuse_until(&mut self, now: Time, key: Key, code: Code, after: Duration) {
         let Some(request) = self.requests.get(&key) else { return };
-        let command = match request.runs {
+        let command = match request.possible_runs {
             0 => Command::Refuse(code, after),
             _ => Command::GiveUp,
         };
--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -11,7 +11,7 @@
     pub(super) const fn reason(self) -> &'static str {
         match self {
             Self::Connection => "no whole answer came: its connection ended",
-            Self::Answer => "no whole answer came: what came is none",
+            Self::InvalidAnswer => "no whole answer came: what came is none",
         }
     }
 }
@@ -75,8 +75,8 @@
             .and("server", dispatch.server.as_str())
             .and("address", dispatch.address)
             .and("fingerprint", request.arrival.fingerprint.to_string())
-            .and_some("weights", dispatch.weights)
-            .and_some("overtaken_ms", self.overtaken(now, request, dispatch.weights));
+            .and_some("weights", dispatch.weights_version)
+            .and_some("overtaken_ms", self.overtaken(now, request, dispatch.weights_version));
         self.event(Event::AttemptSent, detail);
     }
 
@@ -124,7 +124,7 @@
             .and("code", u32::from(code.row().number))
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("sends", request.sends)
-            .and("runs", request.runs)
+            .and("runs", request.possible_runs)
             .and("waited_ms", waited)
             .and("waiting", self.waiting.len())
             .and("retry_after_ms", after);
@@ -139,7 +139,7 @@
             .about_attempt(request, server)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("reason", reason)
-            .and("runs", request.runs)
+            .and("runs", request.possible_runs)
             .and("may_repeat", request.may_repeat());
         self.event(Event::AttemptFailed, detail);
     }
@@ -148,8 +148,8 @@
         let Some(request) = self.requests.get(&key) else { return };
         let (reason, weights) = match refused {
             Refusal::Busy => ("it has no room, or is leaving or loading", None),
-            Refusal::Gone => ("another server has its address", None),
-            Refusal::Weights(version) => ("its weights are of another version", version),
+            Refusal::Replaced => ("another server has its address", None),
+            Refusal::WrongWeights(version) => ("its weights are of another version", version),
         };
         let detail =
             self.about_attempt(request, server).and("reason", reason).and_some("weights", weights);
@@ -159,11 +159,11 @@
     /// Logs that a request that had been sent is taken back; `event` tells why.
     pub(super) fn log_taken_back(&mut self, event: Event, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
-        let Phase::Sent { server, at, .. } = request.phase else { return };
+        let Phase::Sent { server, sent_at: at, .. } = request.phase else { return };
         let detail = self
             .about_attempt(request, server)
             .and("sent_ms_ago", now.saturating_sub(at))
-            .and_some("weights", request.weights);
+            .and_some("weights", request.weights_version);
         self.event(event, detail);
     }
 }
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -22,9 +22,9 @@
     /// Prompt tokens of those whose answers have not begun.
     pub pending_tokens: u32,
     /// Whether it was ordered to load weights and has not finished.
-    pub ordered: bool,
+    pub loading_weights: bool,
     /// Milliseconds since its last answer to this daemon.
-    pub heard_ms: Option<u32>,
+    pub last_answer_age_ms: Option<u32>,
     /// Milliseconds for which the oldest request waits whose answer has not begun.
     pub unanswered_ms: Option<u32>,
 }
@@ -48,30 +48,30 @@
     /// Whether it is stopping.
     pub draining: bool,
     /// The offsets before which it misses no record, in the order of [`Topic::ALL`].
-    pub ends: Vec<u64>,
+    pub end_offsets: Vec<u64>,
     /// Its work by server.
-    pub busy: BTreeMap<Life, Workload>,
+    pub workloads: BTreeMap<Life, Workload>,
     /// Weights that servers were seen to have: server, model, version.
     pub weights: Vec<(Life, String, u64)>,
     /// The parts of prompts that most of its work is for, with milliseconds of work a second; none
     /// in most digests.
-    pub heat: Vec<(u64, f32)>,
+    pub hot_parts: Vec<(u64, f32)>,
     /// Fingerprints of the requests that it refused lately.
     pub refused: Vec<Fingerprint>,
     /// Bytes that it has had moved over the KV store's link since its start.
-    pub link_moved: u64,
+    pub link_bytes_moved: u64,
     /// Requests that are blocked and that the platform's store is not known to keep yet.
     pub blocked: Vec<Blocked>,
     /// When it was made, by its daemon's clock.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Weights that were named lately, in ascending order of versions for each model.
     pub named: Vec<Naming>,
     /// How long ago its daemon last knew that it had missed nothing that operators published.
-    pub missed_nothing_for: Option<Duration>,
+    pub caught_up_age: Option<Duration>,
     /// The daemon that it takes for the keeper of quotas, and so lends its share; empty where it knows of none.
-    pub keeper: String,
+    pub quota_keeper: String,
     /// What it used of workspaces' quotas lately.
-    pub used: Vec<Use>,
+    pub quota_use: Vec<Use>,
 }
 
 /// What daemons send each other.
@@ -80,7 +80,7 @@
     /// How a daemon is.
     Digest(Box<Digest>),
     /// Wants the records of a topic from an offset: who asks, the topic, the offset.
-    Ask(String, Topic, u64),
+    Fetch(String, Topic, u64),
     /// Records of a topic, asked for or new.
     Records(Batch),
     /// Everything that is left of a topic, asked for: keys that are not in it are gone.
@@ -88,9 +88,9 @@
     /// What a daemon has at one server now.
     Notice(Notice),
     /// What an engine or the KV store keeps.
-    Held(Told),
+    Residency(Told),
     /// Wants to be told everything that is kept there: who asks, and of what.
-    AskHeld(String, Keeper),
+    FetchResidency(String, Keeper),
     /// Wants a server for a request.
     Submission(Box<Submission>),
     /// What became of a request that was submitted.
@@ -112,20 +112,27 @@
     pub fn encode(&self) -> Vec<u8> {
         let body = match self.clone() {
             Self::Digest(digest) => wire::Body::Digest((*digest).into()),
-            Self::Ask(daemon, topic, from) => {
-                wire::Body::Ask(wire::Ask { daemon, topic: topic as u32, from })
+            Self::Fetch(daemon, topic, from) => {
+                wire::Body::Fetch(wire::Fetch { daemon, topic: topic as u32, from })
             }
             Self::Records(batch) => wire::Body::Records(batch.into()),
             Self::Snapshot(batch) => {
-                wire::Body::Records(wire::Records { whole: true, ..batch.into() })
+                wire::Body::Records(wire::Records { is_snapshot: true, ..batch.into() })
             }
             Self::Notice(notice) => {
                 let Notice { daemon, life, busy, parts } = notice;
-                wire::Body::Notice(wire::Notice { daemon, busy: Some((life, busy).into()), parts })
+                wire::Body::Notice(wire::Notice {
+                    daemon,
+                    workload: Some((life, busy).into()),
+                    parts,
+                })
             }
-            Self::Held(told) => wire::Body::Held(told.into()),
-            Self::AskHeld(daemon, keeper) => {
-                wire::Body::AskHeld(wire::AskHeld { daemon, keeper: Some(keeper.into()) })
+            Self::Residency(told) => wire::Body::Residency(told.into()),
+            Self::FetchResidency(daemon, keeper) => {
+                wire::Body::FetchResidency(wire::FetchResidency {
+                    daemon,
+                    keeper: Some(keeper.into()),
+                })
             }
             Self::Submission(submission) => wire::Body::Submission((*submission).into()),
             Self::Progress(progress) => wire::Body::Progress(progress.into()),
@@ -141,18 +148,23 @@
         match frame.body {
             None => Err(Malformed("the frame is empty".into())),
             Some(wire::Body::Digest(digest)) => Ok(Self::Digest(Box::new(digest.try_into()?))),
-            Some(wire::Body::Ask(ask)) => Ok(Self::Ask(ask.daemon, topic(ask.topic)?, ask.from)),
-            Some(wire::Body::Records(records)) if records.whole => {
+            Some(wire::Body::Fetch(ask)) => {
+                Ok(Self::Fetch(ask.daemon, topic(ask.topic)?, ask.from))
+            }
+            Some(wire::Body::Records(records)) if records.is_snapshot => {
                 Ok(Self::Snapshot(records.try_into()?))
             }
             Some(wire::Body::Records(records)) => Ok(Self::Records(records.try_into()?)),
             Some(wire::Body::Notice(notice)) => {
-                let busy = notice.busy.ok_or_else(|| Malformed("a notice tells nothing".into()))?;
+                let busy =
+                    notice.workload.ok_or_else(|| Malformed("a notice tells nothing".into()))?;
                 let (life, busy) = busy.into();
                 Ok(Self::Notice(Notice { daemon: notice.daemon, life, busy, parts: notice.parts }))
             }
-            Some(wire::Body::Held(held)) => Ok(Self::Held(held.try_into()?)),
-            Some(wire::Body::AskHeld(ask)) => Ok(Self::AskHeld(ask.daemon, named(ask.keeper)?)),
+            Some(wire::Body::Residency(held)) => Ok(Self::Residency(held.try_into()?)),
+            Some(wire::Body::FetchResidency(ask)) => {
+                Ok(Self::FetchResidency(ask.daemon, named(ask.keeper)?))
+            }
             Some(wire::Body::Submission(submission)) => {
                 Ok(Self::Submission(Box::new(submission.try_into()?)))
             }
@@ -182,9 +194,11 @@
 impl From<Keeper> for wire::Keeper {
     fn from(keeper: Keeper) -> Self {
         match keeper {
-            Keeper::Engine(life) => Self { server: life.id, born: life.born, store: String::new() },
+            Keeper::Engine(life) => {
+                Self { server: life.id, born: life.born, store_address: String::new() }
+            }
             Keeper::Store(address) => {
-                Self { server: String::new(), born: 0, store: address.to_string() }
+                Self { server: String::new(), born: 0, store_address: address.to_string() }
             }
         }
     }
@@ -195,27 +209,29 @@
     if !keeper.server.is_empty() {
         return Ok(Keeper::Engine(Life::new(keeper.server, keeper.born)));
     }
-    let address = keeper.store.parse();
-    address.map(Keeper::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
+    let address = keeper.store_address.parse();
+    address
+        .map(Keeper::Store)
+        .map_err(|_| Malformed(format!("no address: {:?}", keeper.store_address)))
 }
 
-impl From<Told> for wire::Held {
+impl From<Told> for wire::Residency {
     fn from(told: Told) -> Self {
         Self {
             daemon: told.daemon,
             keeper: Some(told.keeper.into()),
             number: told.number,
-            whole: told.whole,
+            is_snapshot: told.whole,
             parts: told.changes.iter().map(|(part, _)| *part).collect(),
             tokens: told.changes.iter().map(|(_, tokens)| *tokens).collect(),
         }
     }
 }
 
-impl TryFrom<wire::Held> for Told {
+impl TryFrom<wire::Residency> for Told {
     type Error = Malformed;
 
-    fn try_from(held: wire::Held) -> Result<Self, Malformed> {
+    fn try_from(held: wire::Residency) -> Result<Self, Malformed> {
         if held.parts.len() != held.tokens.len() {
             return Err(Malformed("the frame's parts and their tokens do not match".into()));
         }
@@ -223,7 +239,7 @@
             daemon: held.daemon,
             keeper: named(held.keeper)?,
             number: held.number,
-            whole: held.whole,
+            whole: held.is_snapshot,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
         })
     }
@@ -236,7 +252,7 @@
             records: batch.records.into_iter().map(wire::Record::from).collect(),
             from: batch.from,
             to: batch.to,
-            whole: false,
+            is_snapshot: false,
         }
     }
 }
@@ -280,33 +296,46 @@
     }
 }
 
-impl From<(Life, Workload)> for wire::Busy {
-    fn from((life, busy): (Life, Workload)) -> Self {
+impl From<(Life, Workload)> for wire::Workload {
+    fn from((life, workload): (Life, Workload)) -> Self {
         Self {
             server: life.id,
             born: life.born,
-            running: busy.running,
-            pending_tokens: busy.pending_tokens,
-            ordered: busy.ordered,
-            heard_ms: busy.heard_ms,
-            unanswered_ms: busy.unanswered_ms,
+            running: workload.running,
+            pending_tokens: workload.pending_tokens,
+            loading_weights: workload.loading_weights,
+            last_answer_age_ms: workload.last_answer_age_ms,
+            unanswered_ms: workload.unanswered_ms,
         }
     }
 }
 
-impl From<wire::Busy> for (Life, Workload) {
-    fn from(busy: wire::Busy) -> Self {
-        let wire::Busy { server, running, pending_tokens, ordered, heard_ms, unanswered_ms, born } =
-            busy;
-        let busy = Workload { running, pending_tokens, ordered, heard_ms, unanswered_ms };
-        (Life::new(server, born), busy)
+impl From<wire::Workload> for (Life, Workload) {
+    fn from(workload: wire::Workload) -> Self {
+        let wire::Workload {
+            server,
+            running,
+            pending_tokens,
+            loading_weights,
+            last_answer_age_ms,
+            unanswered_ms,
+            born,
+        } = workload;
+        let workload = Workload {
+            running,
+            pending_tokens,
+            loading_weights,
+            last_answer_age_ms,
+            unanswered_ms,
+        };
+        (Life::new(server, born), workload)
     }
 }
 
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
         let (blocked, blocked_ages_ms) = poison::from_blocked(&digest.blocked);
-        let busy = digest.busy.into_iter().map(wire::Busy::from);
+        let workloads = digest.workloads.into_iter().map(wire::Workload::from);
         let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
             server: life.id,
             born: life.born,
@@ -318,24 +347,24 @@
             address: digest.address,
             cores: digest.cores,
             interval_ms: millis(digest.interval),
-            read_ages: digest.read_ages.into_iter().map(age_number).collect(),
+            read_ages_ms: digest.read_ages.into_iter().map(age_number).collect(),
             incarnation: digest.incarnation,
             draining: digest.draining,
-            ends: digest.ends,
-            busy: busy.collect(),
+            end_offsets: digest.end_offsets,
+            workloads: workloads.collect(),
             weights: weights.collect(),
-            hot_parts: digest.heat.iter().map(|(part, _)| *part).collect(),
-            hot_work_ms: digest.heat.iter().map(|(_, work_ms)| *work_ms).collect(),
+            hot_parts: digest.hot_parts.iter().map(|(part, _)| *part).collect(),
+            hot_work_ms: digest.hot_parts.iter().map(|(_, work_ms)| *work_ms).collect(),
             refused: digest.refused.into_iter().map(|fingerprint| fingerprint.0).collect(),
-            link_moved: digest.link_moved,
+            link_bytes_moved: digest.link_bytes_moved,
             blocked,
             blocked_ages_ms,
-            sent_ms: u64::try_from(digest.sent.as_millis()).unwrap_or(u64::MAX),
+            sent_at_ms: u64::try_from(digest.sent_at.as_millis()).unwrap_or(u64::MAX),
             named: digest.named.into_iter().map(wire::Naming::from).collect(),
-            missed_nothing_for: age_number(digest.missed_nothing_for),
-            keeper: digest.keeper,
-            used_by: digest.used.iter().map(|used| used.workspace.clone()).collect(),
-            used_units: digest.used.iter().map(|used| used.units).collect(),
+            caught_up_age_ms: age_number(digest.caught_up_age),
+            quota_keeper: digest.quota_keeper,
+            quota_workspaces: digest.quota_use.iter().map(|used| used.workspace.clone()).collect(),
+            quota_units: digest.quota_use.iter().map(|used| used.units).collect(),
         }
     }
 }
@@ -352,23 +381,23 @@
         {
             return Err(Malformed("the digest's parts and their work do not match".into()));
         }
-        if digest.used_by.len() != digest.used_units.len() {
+        if digest.quota_workspaces.len() != digest.quota_units.len() {
             return Err(Malformed("the digest's workspaces and their use do not match".into()));
         }
         if !digest.cores.is_finite() {
             return Err(Malformed("the digest's VM has no number of cores".into()));
         }
-        let busy = digest.busy.into_iter().map(<(Life, Workload)>::from);
+        let workloads = digest.workloads.into_iter().map(<(Life, Workload)>::from);
         Ok(Self {
             daemon: digest.daemon,
             address: digest.address,
             cores: digest.cores,
             interval: Duration::from_millis(u64::from(digest.interval_ms)),
-            read_ages: digest.read_ages.into_iter().map(age).collect(),
+            read_ages: digest.read_ages_ms.into_iter().map(age).collect(),
             incarnation: digest.incarnation,
             draining: digest.draining,
-            ends: digest.ends,
-            busy: busy.collect(),
+            end_offsets: digest.end_offsets,
+            workloads: workloads.collect(),
             weights: digest
                 .weights
                 .into_iter()
@@ -376,18 +405,18 @@
                     (Life::new(weights.server, weights.born), weights.model, weights.version)
                 })
                 .collect(),
-            heat: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
+            hot_parts: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
             refused: digest.refused.into_iter().map(Fingerprint).collect(),
-            link_moved: digest.link_moved,
+            link_bytes_moved: digest.link_bytes_moved,
             blocked: poison::to_blocked(digest.blocked, digest.blocked_ages_ms),
-            sent: Duration::from_millis(digest.sent_ms),
+            sent_at: Duration::from_millis(digest.sent_at_ms),
             named: digest.named.into_iter().map(Naming::from).collect(),
-            missed_nothing_for: age(digest.missed_nothing_for),
-            keeper: digest.keeper,
-            used: digest
-                .used_by
+            caught_up_age: age(digest.caught_up_age_ms),
+            quota_keeper: digest.quota_keeper,
+            quota_use: digest
+                .quota_workspaces
                 .into_iter()
-                .zip(digest.used_units)
+                .zip(digest.quota_units)
                 .map(|(workspace, units)| Use { workspace, units })
                 .collect(),
         })
--- a/src/fleet/frame/wire.rs
+++ b/src/fleet/frame/wire.rs
@@ -4,7 +4,7 @@
 use crate::poison::WireMessage as WirePoison;
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Busy {
+pub(super) struct Workload {
     #[prost(string, tag = "1")]
     pub(super) server: String,
     #[prost(uint32, tag = "2")]
@@ -12,9 +12,9 @@
     #[prost(uint32, tag = "3")]
     pub(super) pending_tokens: u32,
     #[prost(bool, tag = "4")]
-    pub(super) ordered: bool,
+    pub(super) loading_weights: bool,
     #[prost(uint32, optional, tag = "5")]
-    pub(super) heard_ms: Option<u32>,
+    pub(super) last_answer_age_ms: Option<u32>,
     #[prost(uint32, optional, tag = "6")]
     pub(super) unanswered_ms: Option<u32>,
     #[prost(uint64, tag = "7")]
@@ -42,9 +42,9 @@
     #[prost(bool, tag = "3")]
     pub(super) draining: bool,
     #[prost(uint64, repeated, tag = "4")]
-    pub(super) ends: Vec<u64>,
+    pub(super) end_offsets: Vec<u64>,
     #[prost(message, repeated, tag = "5")]
-    pub(super) busy: Vec<Busy>,
+    pub(super) workloads: Vec<Workload>,
     #[prost(message, repeated, tag = "6")]
     pub(super) weights: Vec<Weights>,
     #[prost(string, tag = "7")]
@@ -57,32 +57,32 @@
     #[prost(fixed64, repeated, tag = "10")]
     pub(super) refused: Vec<u64>,
     #[prost(uint64, tag = "11")]
-    pub(super) link_moved: u64,
+    pub(super) link_bytes_moved: u64,
     #[prost(float, tag = "12")]
     pub(super) cores: f32,
     #[prost(uint32, tag = "13")]
     pub(super) interval_ms: u32,
     /// Milliseconds and one more; 0 where nothing was read.
     #[prost(uint32, repeated, tag = "14")]
-    pub(super) read_ages: Vec<u32>,
+    pub(super) read_ages_ms: Vec<u32>,
     #[prost(fixed64, repeated, tag = "15")]
     pub(super) blocked: Vec<u64>,
     #[prost(message, repeated, tag = "16")]
     pub(super) named: Vec<Naming>,
     #[prost(uint64, tag = "17")]
-    pub(super) sent_ms: u64,
+    pub(super) sent_at_ms: u64,
     /// Milliseconds and one more; 0 where that is not known.
     #[prost(uint32, tag = "18")]
-    pub(super) missed_nothing_for: u32,
+    pub(super) caught_up_age_ms: u32,
     #[prost(uint32, repeated, tag = "19")]
     pub(super) blocked_ages_ms: Vec<u32>,
     #[prost(string, tag = "20")]
-    pub(super) keeper: String,
+    pub(super) quota_keeper: String,
     /// Workspaces, beside the units that were used of their quotas.
     #[prost(string, repeated, tag = "21")]
-    pub(super) used_by: Vec<String>,
+    pub(super) quota_workspaces: Vec<String>,
     #[prost(uint64, repeated, tag = "22")]
-    pub(super) used_units: Vec<u64>,
+    pub(super) quota_units: Vec<u64>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -97,7 +97,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Ask {
+pub(super) struct Fetch {
     #[prost(string, tag = "1")]
     pub(super) daemon: String,
     #[prost(uint32, tag = "2")]
@@ -128,7 +128,7 @@
     pub(super) to: u64,
     /// Whether these are all that is left of the topic.
     #[prost(bool, tag = "5")]
-    pub(super) whole: bool,
+    pub(super) is_snapshot: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -136,7 +136,7 @@
     #[prost(string, tag = "1")]
     pub(super) daemon: String,
     #[prost(message, optional, tag = "2")]
-    pub(super) busy: Option<Busy>,
+    pub(super) workload: Option<Workload>,
     #[prost(fixed64, repeated, tag = "3")]
     pub(super) parts: Vec<u64>,
 }
@@ -149,11 +149,11 @@
     #[prost(uint64, tag = "2")]
     pub(super) born: u64,
     #[prost(string, tag = "3")]
-    pub(super) store: String,
+    pub(super) store_address: String,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Held {
+pub(super) struct Residency {
     #[prost(string, tag = "1")]
     pub(super) daemon: String,
     #[prost(message, optional, tag = "2")]
@@ -161,7 +161,7 @@
     #[prost(uint64, tag = "3")]
     pub(super) number: u64,
     #[prost(bool, tag = "4")]
-    pub(super) whole: bool,
+    pub(super) is_snapshot: bool,
     /// Parts, beside the tokens that are kept of them.
     #[prost(fixed64, repeated, tag = "5")]
     pub(super) parts: Vec<u64>,
@@ -170,7 +170,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct AskHeld {
+pub(super) struct FetchResidency {
     #[prost(string, tag = "1")]
     pub(super) daemon: String,
     #[prost(message, optional, tag = "2")]
@@ -182,13 +182,13 @@
     #[prost(message, tag = "1")]
     Digest(Digest),
     #[prost(message, tag = "2")]
-    Ask(Ask),
+    Fetch(Fetch),
     #[prost(message, tag = "3")]
     Records(Records),
     #[prost(message, tag = "4")]
-    Held(Held),
+    Residency(Residency),
     #[prost(message, tag = "5")]
-    AskHeld(AskHeld),
+    FetchResidency(FetchResidency),
     #[prost(message, tag = "6")]
     Notice(Notice),
     #[prost(message, tag = "7")]
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -103,15 +103,15 @@
         if now >= self.next_heat {
             self.next_heat = now + HEAT_INTERVAL;
             let hottest = self.heat.top(now, HEAT_PARTS).into_iter();
-            digest.heat = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
+            digest.hot_parts = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
         }
         if schedules {
             let announced = Digest {
                 interval: INTERVAL * ANNOUNCED_EVERY,
-                busy: BTreeMap::new(),
-                heat: Vec::new(),
+                workloads: BTreeMap::new(),
+                hot_parts: Vec::new(),
                 refused: Vec::new(),
-                used: Vec::new(),
+                quota_use: Vec::new(),
                 ..digest.clone()
             };
             self.send_digest(now, &others, announced);
@@ -183,18 +183,18 @@
             read_ages: self.read_ages(now),
             incarnation: self.identity.incarnation,
             draining: self.draining,
-            ends: Topic::ALL.iter().map(|topic| self.catalog.end(*topic)).collect(),
-            busy: busy.collect(),
+            end_offsets: Topic::ALL.iter().map(|topic| self.catalog.end(*topic)).collect(),
+            workloads: busy.collect(),
             weights: seen.map(|(life, model, v, _)| (life.clone(), model.clone(), *v)).collect(),
-            heat: Vec::new(),
+            hot_parts: Vec::new(),
             refused: self.expected.own(),
-            link_moved: self.link.moved(),
+            link_bytes_moved: self.link.moved(),
             blocked: self.poison.unkept(now),
-            sent: now,
+            sent_at: now,
             named: self.rollout.seen_named.told(now, self.policy.weights_limit),
-            missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
-            keeper: self.keeping.name().to_owned(),
-            used: self.quota.used(now),
+            caught_up_age: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
+            quota_keeper: self.keeping.name().to_owned(),
+            quota_use: self.quota.used(now),
         }
     }
 
@@ -203,13 +203,13 @@
         match frame {
             Frame::Digest(digest) => self.digest_came(now, *digest),
             Frame::Notice(notice) => self.notice_came(now, notice),
-            Frame::Held(told) => self.told_came(now, &told),
-            Frame::AskHeld(daemon, keeper) => self.asked_held(&daemon, keeper),
+            Frame::Residency(told) => self.told_came(now, &told),
+            Frame::FetchResidency(daemon, keeper) => self.asked_held(&daemon, keeper),
             Frame::Submission(submission) => self.handle_submission(now, *submission),
             Frame::Progress(progress) => self.handle_progress(now, progress),
             Frame::Verdict(verdict) => self.handle_verdict(now, *verdict),
             Frame::Poison(message) => self.poison_came(now, message),
-            Frame::Ask(daemon, topic, from) => self.asked(&daemon, topic, from),
+            Frame::Fetch(daemon, topic, from) => self.asked(&daemon, topic, from),
             Frame::Records(batch) => {
                 self.hear_topic(batch.topic, |node| node.take(now, batch, true));
             }
@@ -278,13 +278,14 @@
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
             let known =
                 peer.digest.as_ref().filter(|known| known.incarnation == digest.incarnation);
-            let moved = known.map(|known| digest.link_moved.saturating_sub(known.link_moved));
+            let moved =
+                known.map(|known| digest.link_bytes_moved.saturating_sub(known.link_bytes_moved));
             self.link.take_off(moved.unwrap_or_default());
             let restarted =
                 peer.digest.as_ref().is_some_and(|known| known.incarnation != digest.incarnation);
             peer.heard = Some(now);
-            if !digest.heat.is_empty() {
-                peer.heat = digest.heat.iter().copied().collect();
+            if !digest.hot_parts.is_empty() {
+                peer.heat = digest.hot_parts.iter().copied().collect();
                 peer.heat_at = now;
             }
             let (daemon, incarnation) = (digest.daemon.clone(), digest.incarnation);
@@ -293,7 +294,7 @@
             peer.came(now, &digest);
             let delay = peer.delay();
             let told =
-                (digest.ends.get(Topic::Operator as usize).copied(), digest.missed_nothing_for);
+                (digest.end_offsets.get(Topic::Operator as usize).copied(), digest.caught_up_age);
             peer.digest = Some(digest);
             self.hear_missed_nothing(now, told, delay);
             if restarted {
@@ -324,7 +325,7 @@
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
-        digest.busy.insert(life, busy);
+        digest.workloads.insert(life, busy);
         self.others_are_stale = true;
     }
 
@@ -343,7 +344,7 @@
         self.others.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
             let (Some(digest), Some(told)) = (&peer.digest, peer.heard) else { continue };
-            for (life, busy) in &digest.busy {
+            for (life, busy) in &digest.workloads {
                 if let Some(key) = self.lives.server(life) {
                     self.others.entry(key).or_default().add(told, busy);
                 }
@@ -357,7 +358,7 @@
             let ahead = self
                 .fresh(now)
                 .filter_map(|(_, peer)| {
-                    Some((*peer.digest.as_ref()?.ends.get(index)?, peer.address))
+                    Some((*peer.digest.as_ref()?.end_offsets.get(index)?, peer.address))
                 })
                 .max_by_key(|(end, _)| *end)
                 .filter(|(end, _)| *end > own);
@@ -367,7 +368,7 @@
             };
             if now >= *self.behind.entry(topic).or_insert(now) + BEHIND {
                 self.behind.insert(topic, now);
-                let frame = Frame::Ask(self.identity.id.clone(), topic, own);
+                let frame = Frame::Fetch(self.identity.id.clone(), topic, own);
                 self.effects.push(Effect::Send(vec![address], frame));
             }
         }
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -29,9 +29,9 @@
         };
         self.running += busy.running;
         self.pending_tokens = self.pending_tokens.saturating_add(busy.pending_tokens);
-        self.ordered |= busy.ordered;
+        self.ordered |= busy.loading_weights;
         self.told_at = earlier(self.told_at, Some(told));
-        self.heard_at = self.heard_at.max(before(busy.heard_ms));
+        self.heard_at = self.heard_at.max(before(busy.last_answer_age_ms));
         self.unanswered_since = earlier(self.unanswered_since, before(busy.unanswered_ms));
     }
 
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -36,9 +36,9 @@
     /// It has no room, or is leaving or loading.
     Busy,
     /// Another server has its address.
-    Gone,
+    Replaced,
     /// Its weights have this version.
-    Weights(Option<u64>),
+    WrongWeights(Option<u64>),
 }
 
 /// How an answer was lost.
@@ -47,7 +47,7 @@
     /// Its connection ended or failed.
     Connection,
     /// What came is no answer to it.
-    Answer,
+    InvalidAnswer,
 }
 
 /// What became of one attempt.
@@ -88,9 +88,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What cached prompts are kept under, for an engine.
-    pub salt: Option<String>,
+    pub cache_salt: Option<String>,
     /// The version that the engine's weights must have.
-    pub weights: Option<u64>,
+    pub weights_version: Option<u64>,
     /// Where the engine first fetches cached parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
     /// Where the engine sends the parts that it reads.
@@ -98,7 +98,7 @@
     /// Its rank at the engine; 0 is the most urgent.
     pub priority: u8,
     /// Idle connections to the server that this daemon may keep.
-    pub most_idle: usize,
+    pub max_idle: usize,
 }
 
 /// What a record of the platform's store means.
@@ -145,10 +145,10 @@
     /// What was read.
     pub batch: Batch,
     /// Whether these are the newest records of all keys, so that a key without one has none.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// A time until which the store had nothing beyond what it gave: when it was asked, or when it had waited in
     /// vain.
-    pub asked: Time,
+    pub current_at: Time,
 }
 
 /// How an order to an engine ended.
@@ -233,15 +233,15 @@
         report: Report,
     },
     /// The caller has gone, or the request was ended by its time limit.
-    Leave(Key),
+    Cancel(Key),
     /// A topic was read.
     Read(Read),
     /// What is tracked could not be read, and why.
-    Down(Dependency, String),
+    ReadFailed(Dependency, String),
     /// Records of the lease were read: the oldest offset that is left, and each with its own.
     Lease(u64, Vec<(u64, String)>),
     /// An order to an engine ended.
-    Ordered(server::Key, OrderEnd),
+    OrderEnded(server::Key, OrderEnd),
     /// An engine reported, or could not be asked.
     Polled(server::Key, Option<State>),
     /// Events of what keeps parts were read, or could not be.
@@ -253,7 +253,7 @@
     /// A planned stop was asked for.
     Stop,
     /// The time of a planned stop is nearly over.
-    StopEnds,
+    StopDeadline,
     /// Time has passed.
     Tick,
 }
@@ -282,7 +282,7 @@
         /// The fencing number.
         fence: u64,
         /// How many orders the engine is expected to have taken.
-        expect: u64,
+        expected_sequence: u64,
     },
     /// Read the events of what keeps parts, waiting for some.
     ReadEvents {
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -199,17 +199,17 @@
             Message::Report { request, attempt, report } => {
                 self.report(now, request, attempt, report);
             }
-            Message::Leave(request) => self.forget(now, request),
+            Message::Cancel(request) => self.forget(now, request),
             Message::Read(read) => self.read(now, read),
-            Message::Down(tracked, reason) => self.went_down(now, tracked, &reason),
+            Message::ReadFailed(tracked, reason) => self.went_down(now, tracked, &reason),
             Message::Lease(first, records) => self.lease_read(now, first, &records),
-            Message::Ordered(server, end) => self.order_ended(now, server, end),
+            Message::OrderEnded(server, end) => self.order_ended(now, server, end),
             Message::Polled(server, state) => self.polled(now, server, state),
             Message::Events(place, read) => self.events_read(now, place, read.as_ref()),
             Message::Probed(victim, answer) => self.probed(now, victim, answer),
             Message::Frame(frame) => self.frame(now, frame),
             Message::Stop => self.stop(now),
-            Message::StopEnds => self.stop_ends(now),
+            Message::StopDeadline => self.stop_ends(now),
             Message::Tick => self.tick(now),
         }
         std::mem::take(&mut self.effects)
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -73,8 +73,8 @@
         Workload {
             running: self.running,
             pending_tokens: self.pending_tokens,
-            ordered: self.is_loading(now),
-            heard_ms: self.heard_at.map(age_ms),
+            loading_weights: self.is_loading(now),
+            last_answer_age_ms: self.heard_at.map(age_ms),
             unanswered_ms: self.unanswered_since.map(age_ms),
         }
     }
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -66,7 +66,7 @@
     /// Notes when a digest came.
     pub(super) fn came(&mut self, now: Time, digest: &Digest) {
         let ms = |time: Time| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
-        let last = ms(now).saturating_sub(ms(digest.sent));
+        let last = ms(now).saturating_sub(ms(digest.sent_at));
         let known = self.ahead.filter(|ahead| ahead.incarnation == digest.incarnation);
         let least = known.map_or(last, |ahead| ahead.least.min(last));
         self.ahead = Some(Ahead { incarnation: digest.incarnation, least, last });
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -160,7 +160,7 @@
     pub(super) fn refuse_blocked(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let after = self.poison.left(now, request.arrival.fingerprint);
-        let command = match request.runs {
+        let command = match request.possible_runs {
             0 => Command::Refuse(Code::RequestBlocked, after),
             _ => Command::GiveUp,
         };
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -36,7 +36,7 @@
 impl Peer {
     /// Whether it lends its share to the daemon `id`.
     fn lends_to(&self, now: Time, id: &str) -> bool {
-        self.is_told_of(now) && self.digest.as_ref().is_some_and(|digest| digest.keeper == id)
+        self.is_told_of(now) && self.digest.as_ref().is_some_and(|digest| digest.quota_keeper == id)
     }
 
     /// Whether neither of its last two digests is overdue.
@@ -88,7 +88,7 @@
             return false;
         }
         let until = now + Self::longest_wait(request);
-        let waits = now < *request.undecided_until.get_or_insert(until);
+        let waits = now < *request.admission_deadline.get_or_insert(until);
         if waits {
             request.phase = Phase::Waiting(now);
             self.keeping.undecided.insert(key);
@@ -156,17 +156,17 @@
     pub(super) fn let_in(&mut self, now: Time, key: Key) -> bool {
         let Some((workspace, quota, units)) = self.units(key) else { return true };
         let Some(request) = self.requests.get(&key) else { return false };
-        if request.runs > 0 || request.counted > 0 {
+        if request.possible_runs > 0 || request.charged_runs > 0 {
             return true;
         }
         let longest = Self::longest_absence(now, request);
         let in_time = Self::longest_wait(request).min(longest);
-        let (is_back, fingerprint) = (request.returned, request.arrival.fingerprint);
+        let (is_back, fingerprint) = (request.refused_before, request.arrival.fingerprint);
         let ask = Ask { workspace: &workspace, quota, units, is_back, in_time };
         match self.quota.let_in(now, ask) {
             Ok(()) => {
                 if let Some(request) = self.requests.get_mut(&key) {
-                    request.counted = 1;
+                    request.charged_runs = 1;
                 }
                 true
             }
@@ -187,8 +187,8 @@
     pub(super) fn count_run(&mut self, now: Time, key: Key) {
         let Some((workspace, _, units)) = self.units(key) else { return };
         let Some(request) = self.requests.get_mut(&key) else { return };
-        if request.runs >= request.counted {
-            request.counted = request.runs + 1;
+        if request.possible_runs >= request.charged_runs {
+            request.charged_runs = request.possible_runs + 1;
             self.quota.count(now, &workspace, units);
         }
     }
@@ -196,7 +196,7 @@
     /// Gives back what was counted for a request that ends and did not run.
     pub(super) fn give_back(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
-        let spare = u64::from(request.counted.saturating_sub(request.runs));
+        let spare = u64::from(request.charged_runs.saturating_sub(request.possible_runs));
         if spare > 0
             && let Some((workspace, _, units)) = self.units(key)
         {
@@ -206,10 +206,10 @@
 
     /// Takes over what a peer used. Daemons that do not schedule have no use for it.
     pub(super) fn hear_used(&mut self, now: Time, digest: &Digest) {
-        if !digest.used.is_empty() && self.is_scheduler(now) {
+        if !digest.quota_use.is_empty() && self.is_scheduler(now) {
             let table = self.table.clone();
             let quota = |workspace: &str| table.as_ref()?.quota(workspace);
-            self.quota.hear(now, &digest.daemon, digest.incarnation, &digest.used, quota);
+            self.quota.hear(now, &digest.daemon, digest.incarnation, &digest.quota_use, quota);
         }
     }
 
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -19,15 +19,16 @@
         }
         let (mut late, mut recalled) = (Vec::new(), Vec::new());
         for (key, request) in &self.requests {
-            let Phase::Sent { server, begun: false, at, .. } = request.phase else { continue };
+            let Phase::Sent { server, begun: false, sent_at, .. } = request.phase else { continue };
             if let Some(state) = self.servers.get_mut(server) {
                 state.unanswered_since =
-                    Some(state.unanswered_since.map_or(at, |since| since.min(at)));
+                    Some(state.unanswered_since.map_or(sent_at, |since| since.min(sent_at)));
             }
-            if now >= at + SILENT_AFTER {
+            if now >= sent_at + SILENT_AFTER {
                 late.push((*key, server));
             }
-            if let (Some(prompt), Some(version)) = (&request.arrival.prompt, request.weights)
+            if let (Some(prompt), Some(version)) =
+                (&request.arrival.prompt, request.weights_version)
                 && self.is_too_late(now, &prompt.model, version)
             {
                 recalled.push(*key);
@@ -49,7 +50,7 @@
     fn take_over_late(&mut self, now: Time) {
         let late = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
-            let weights = request.arrival.prompt.as_ref().zip(request.weights);
+            let weights = request.arrival.prompt.as_ref().zip(request.weights_version);
             placed && weights.is_some_and(|(prompt, v)| self.is_left_too_late(now, &prompt.model, v))
         });
         let late: Vec<Key> = late.map(|(key, _)| *key).collect();
@@ -62,8 +63,8 @@
     pub(super) fn recall(&mut self, now: Time, key: Key) {
         self.move_request(now, key);
         let Some(request) = self.requests.get(&key) else { return };
-        let Phase::Sent { at, .. } = request.phase else { return };
-        if at == now {
+        let Phase::Sent { sent_at, .. } = request.phase else { return };
+        if sent_at == now {
             return;
         }
         self.counts.recalled += 1;
@@ -75,7 +76,7 @@
     /// Sends a request elsewhere whose server has fallen silent, where its route allows it.
     pub(super) fn move_request(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
-        let Phase::Sent { server, at, .. } = request.phase else { return };
+        let Phase::Sent { server, sent_at, .. } = request.phase else { return };
         let pool = request.pool.clone();
         if !request.may_repeat() || self.may_end_servers(now, key) {
             return;
@@ -87,7 +88,7 @@
         self.counts.moved += 1;
         self.log_taken_back(Event::RequestMoved, now, key);
         // It may be what silenced the server; whether that has ended its registration will tell.
-        self.connection_lost(now, key, server, now.saturating_sub(at));
+        self.connection_lost(now, key, server, now.saturating_sub(sent_at));
         self.release(key);
         self.dispatch(now, key, choice);
     }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -17,7 +17,7 @@
 
 impl Node {
     pub(super) fn read(&mut self, now: Time, read: Read) {
-        let Read { batch, whole, asked } = read;
+        let Read { batch, is_snapshot: whole, current_at: asked } = read;
         let topic = batch.topic;
         self.came_up(now, Dependency::Topic(topic));
         self.read_at.insert(topic, now);
@@ -202,7 +202,7 @@
         let detail = Detail::of("server", entry.life.id.as_str()).and("born", entry.life.born);
         self.event(Event::ServerRestarted, detail);
         let there = self.requests.iter().filter_map(|(key, request)| match request.phase {
-            Phase::Sent { server, at, .. } if server == former => Some((*key, at)),
+            Phase::Sent { server, sent_at: at, .. } if server == former => Some((*key, at)),
             _ => None,
         });
         let there: Vec<(Key, Time)> = there.collect();
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -14,7 +14,7 @@
         if let Phase::Submitted(Stage::Placed(placed)) = request.phase {
             return self.report_placed(now, key, placed, report);
         }
-        let Phase::Sent { server, tokens, begun, at } = request.phase else { return };
+        let Phase::Sent { server, prefill_tokens, begun, sent_at } = request.phase else { return };
         let model = request.arrival.prompt.as_ref().map(|prompt| prompt.model.clone());
         match report {
             Report::Begun(weights) => {
@@ -22,7 +22,7 @@
                     self.saw_weights(now, server, &model, version);
                 }
                 self.heard(now, server);
-                self.begun(now, key, server, tokens, begun, at);
+                self.begun(now, key, server, prefill_tokens, begun, sent_at);
             }
             Report::Ended => {
                 self.heard(now, server);
@@ -33,7 +33,7 @@
                 self.forget(now, key);
             }
             Report::Refused(refused) => {
-                request.runs -= 1;
+                request.possible_runs -= 1;
                 self.counts.declined += 1;
                 self.log_declined(key, server, refused);
                 self.heard(now, server);
@@ -41,7 +41,7 @@
                 self.again(now, key, true, Code::QueueFull);
             }
             Report::Unsent => {
-                request.runs -= 1;
+                request.possible_runs -= 1;
                 self.counts.unsent += 1;
                 self.log_failed(key, server, "it could not be connected to");
                 self.note_failure(now, server);
@@ -51,7 +51,7 @@
                 self.counts.lost += 1;
                 self.log_failed(key, server, loss.reason());
                 if loss == Loss::Connection {
-                    self.connection_lost(now, key, server, now.saturating_sub(at));
+                    self.connection_lost(now, key, server, now.saturating_sub(sent_at));
                 }
                 self.note_failure(now, server);
                 self.repeat(now, key);
@@ -93,7 +93,8 @@
             server.pending_tokens = server.pending_tokens.saturating_sub(tokens);
         }
         if let Some(request) = self.requests.get_mut(&key) {
-            request.phase = Phase::Sent { server, tokens, begun: true, at };
+            request.phase =
+                Phase::Sent { server, prefill_tokens: tokens, begun: true, sent_at: at };
         }
         self.notice(now, server, tokens, Vec::new());
     }
@@ -105,13 +106,13 @@
         model: Option<&str>,
         refused: Refusal,
     ) {
-        if let (Refusal::Weights(Some(version)), Some(model)) = (refused, model) {
+        if let (Refusal::WrongWeights(Some(version)), Some(model)) = (refused, model) {
             return self.saw_weights(now, key, model, version);
         }
         if let Some(server) = self.servers.get_mut(key) {
             match refused {
-                Refusal::Gone => server.failed(now),
-                Refusal::Busy | Refusal::Weights(_) => server.refused(now),
+                Refusal::Replaced => server.failed(now),
+                Refusal::Busy | Refusal::WrongWeights(_) => server.refused(now),
             }
         }
     }
--- a/src/fleet/request.rs
+++ b/src/fleet/request.rs
@@ -13,7 +13,7 @@
     /// A scheduler looks for a server for it.
     Submitted(Stage),
     /// It was sent.
-    Sent { server: server::Key, tokens: u32, begun: bool, at: Time },
+    Sent { server: server::Key, prefill_tokens: u32, begun: bool, sent_at: Time },
 }
 
 /// One request.
@@ -25,22 +25,22 @@
     /// Sends so far.
     pub(super) sends: u32,
     /// Servers that may have run it.
-    pub(super) runs: u32,
+    pub(super) possible_runs: u32,
     /// Runs that this daemon has counted against its workspace's quota.
-    pub(super) counted: u32,
+    pub(super) charged_runs: u32,
     /// Until when it waits for a daemon that may let it in, where this one could not know.
-    pub(super) undecided_until: Option<Time>,
+    pub(super) admission_deadline: Option<Time>,
     /// The weights that it was last sent to.
-    pub(super) weights: Option<u64>,
+    pub(super) weights_version: Option<u64>,
     /// Milliseconds to its first token that were predicted, without the queue of the KV store's link,
     /// where it fetches from there.
     pub(super) fetch_cost_ms: Option<f64>,
     /// Servers that it was sent to.
     pub(super) tried: Vec<server::Key>,
     /// Whether its next send draws on the retry budget.
-    pub(super) owes: bool,
+    pub(super) draws_on_retry_budget: bool,
     /// Whether its caller was refused lately and has come back.
-    pub(super) returned: bool,
+    pub(super) refused_before: bool,
     /// Whose it is, where another daemon submitted it.
     pub(super) origin: Option<Origin>,
     /// The daemon that it was submitted to; none where this one decides.
@@ -57,14 +57,14 @@
             pool,
             phase: Phase::Waiting(now),
             sends: 0,
-            runs: 0,
-            counted: 0,
-            undecided_until: None,
-            weights: None,
+            possible_runs: 0,
+            charged_runs: 0,
+            admission_deadline: None,
+            weights_version: None,
             fetch_cost_ms: None,
             tried: Vec::new(),
-            owes: false,
-            returned: false,
+            draws_on_retry_budget: false,
+            refused_before: false,
             origin,
             scheduler: String::new(),
             submissions: 0,
@@ -74,12 +74,12 @@
     /// Whether it may be sent once more although a server may have run it.
     pub(super) fn may_repeat(&self) -> bool {
         let route = &self.arrival.route;
-        route.repeat != Repeat::AtMostOnce && self.runs < route.attempts
+        route.repeat != Repeat::AtMostOnce && self.possible_runs < route.attempts
     }
 
     /// Whether it waits for a scheduler's word or at a scheduler.
     pub(super) fn is_awaiting_scheduler(&self) -> bool {
-        matches!(self.phase, Phase::Submitted(Stage::Asked(_) | Stage::Queued))
+        matches!(self.phase, Phase::Submitted(Stage::AwaitingVerdict(_) | Stage::Queued))
     }
 
     /// Whether it was sent and its answer has not begun.
@@ -93,7 +93,9 @@
         match self.phase {
             Phase::Sent { begun, .. } => begun,
             Phase::Submitted(Stage::Placed(placed)) => placed.has_begun(),
-            Phase::Submitted(Stage::Asked(_) | Stage::Queued) | Phase::Waiting(_) => false,
+            Phase::Submitted(Stage::AwaitingVerdict(_) | Stage::Queued) | Phase::Waiting(_) => {
+                false
+            }
         }
     }
 }
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -74,7 +74,8 @@
         }
         let key = arrival.request;
         let returned = self.expected.is_back(now, arrival.fingerprint);
-        let request = Request { returned, ..Request::new(now, arrival, pool, origin) };
+        let request =
+            Request { refused_before: returned, ..Request::new(now, arrival, pool, origin) };
         self.requests.insert(key, request);
         if self.is_blocked(key) {
             return self.refuse_blocked(now, key);
@@ -112,11 +113,11 @@
     fn pay(&mut self, now: Time, key: Key) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
         let pool = request.pool.clone();
-        if request.owes && !self.spend(now, &pool) {
+        if request.draws_on_retry_budget && !self.spend(now, &pool) {
             return false;
         }
         if let Some(request) = self.requests.get_mut(&key) {
-            request.owes = false;
+            request.draws_on_retry_budget = false;
         }
         true
     }
@@ -136,12 +137,16 @@
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Some(server) = self.servers.get_mut(choice.server) else { return };
         request.sends += 1;
-        request.runs += 1;
+        request.possible_runs += 1;
         request.tried.push(choice.server);
-        request.weights = choice.weights;
+        request.weights_version = choice.weights;
         request.fetch_cost_ms = choice.from_store.then(|| choice.cost_ms - self.link.delay_ms(now));
-        request.phase =
-            Phase::Sent { server: choice.server, tokens: choice.tokens, begun: false, at: now };
+        request.phase = Phase::Sent {
+            server: choice.server,
+            prefill_tokens: choice.tokens,
+            begun: false,
+            sent_at: now,
+        };
         server.running += 1;
         self.link.spend(choice.moved_bytes);
         server.pending_tokens = server.pending_tokens.saturating_add(choice.tokens);
@@ -160,12 +165,12 @@
             attempt: request.sends,
             server: server.entry.life.id.clone(),
             address: server.entry.address,
-            salt: choice.salt.clone(),
-            weights: choice.weights,
+            cache_salt: choice.salt.clone(),
+            weights_version: choice.weights,
             fetch_from: choice.fetch_from,
             save_to: choice.save_to,
             priority: Self::rank(request).min(9),
-            most_idle,
+            max_idle: most_idle,
         };
         self.log_sent(now, key, &choice);
         self.notice(now, choice.server, choice.tokens, parts);
@@ -178,7 +183,7 @@
     pub(super) fn again(&mut self, now: Time, key: Key, arrived: bool, code: Code) {
         self.release(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
-        request.owes |= arrived;
+        request.draws_on_retry_budget |= arrived;
         if request.sends >= MAX_SENDS {
             return self.refuse(now, key, code);
         }
@@ -192,7 +197,7 @@
         let harmless = !self.may_end_servers(now, key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() && harmless {
-            request.owes = true;
+            request.draws_on_retry_budget = true;
             return self.send_or_wait(now, key);
         }
         self.command(key, Command::GiveUp);
@@ -202,12 +207,12 @@
     /// Frees what a sent request holds at its server.
     pub(super) fn release(&mut self, key: Key) {
         let Some(request) = self.requests.get_mut(&key) else { return };
-        let Phase::Sent { server, tokens, begun, .. } = request.phase else { return };
+        let Phase::Sent { server, prefill_tokens, begun, .. } = request.phase else { return };
         request.phase = Phase::Waiting(Time::ZERO);
         if let Some(server) = self.servers.get_mut(server) {
             server.running = server.running.saturating_sub(1);
             if !begun {
-                server.pending_tokens = server.pending_tokens.saturating_sub(tokens);
+                server.pending_tokens = server.pending_tokens.saturating_sub(prefill_tokens);
             }
         }
     }
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -120,7 +120,7 @@
         }
         reading.ask_at = now + ASK;
         if let Some(address) = self.peer_address(&told.daemon) {
-            let ask = Frame::AskHeld(self.identity.id.clone(), told.keeper.clone());
+            let ask = Frame::FetchResidency(self.identity.id.clone(), told.keeper.clone());
             self.effects.push(Effect::Send(vec![address], ask));
         }
     }
@@ -133,7 +133,7 @@
         };
         let daemon = self.identity.id.clone();
         let told = Told { daemon, keeper, number, whole: true, changes };
-        self.effects.push(Effect::Send(vec![address], Frame::Held(told)));
+        self.effects.push(Effect::Send(vec![address], Frame::Residency(told)));
     }
 
     fn tell(&mut self, now: Time, place: Place, whole: bool, changes: Vec<(u64, u32)>) {
@@ -146,7 +146,7 @@
         if !peers.is_empty() {
             let daemon = self.identity.id.clone();
             let told = Told { daemon, keeper, number, whole, changes };
-            self.effects.push(Effect::Send(peers, Frame::Held(told)));
+            self.effects.push(Effect::Send(peers, Frame::Residency(told)));
         }
     }
 
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -221,7 +221,7 @@
             model: model.clone(),
             version,
             fence,
-            expect: entry.sequence,
+            expected_sequence: entry.sequence,
         };
         let detail = Detail::of("server", entry.life.id.as_str())
             .and("model", model)
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -248,7 +248,7 @@
             }
         };
         let left = match message {
-            Message::Leave(key) => Some(key),
+            Message::Cancel(key) => Some(key),
             _ => None,
         };
         let effects = self.node.apply(now, message);
--- a/src/fleet/scheduling/message.rs
+++ b/src/fleet/scheduling/message.rs
@@ -25,15 +25,15 @@
     /// The time within which its answer is on time.
     pub target: Duration,
     /// Its rank; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Servers that it may be run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The pool that is to serve it.
     pub pool: String,
     /// Its workspace, where it has one.
     pub workspace: Option<Workspace>,
     /// Time until it is no longer wanted.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Its prompt, where it goes to an engine.
     pub prompt: Option<Prompt>,
     /// What it asks for and for whom.
@@ -46,7 +46,7 @@
     /// The attempt's state changed.
     Report(Report),
     /// The scheduler need not care for it any more.
-    Left,
+    Withdrawn,
 }
 
 /// A daemon's word to the scheduler of a request.
@@ -68,15 +68,15 @@
     /// Counts the scheduler's attempts from 1.
     pub attempt: u32,
     /// The server.
-    pub life: Life,
+    pub server: Life,
     /// Where it listens.
     pub address: SocketAddr,
     /// Prompt tokens that it is expected to read.
-    pub tokens: u32,
+    pub prefill_tokens: u32,
     /// What cached prompts are kept under, for an engine.
-    pub salt: Option<String>,
+    pub cache_salt: Option<String>,
     /// The version that the engine's weights must have.
-    pub weights: Option<u64>,
+    pub weights_version: Option<u64>,
     /// Where the engine first fetches cached parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
     /// Where the engine sends the parts that it reads.
@@ -106,5 +106,5 @@
     /// The request, as the daemon that has it counts.
     pub request: Key,
     /// What was decided.
-    pub ruling: Decision,
+    pub decision: Decision,
 }
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -94,7 +94,7 @@
     pub(in crate::fleet) fn handle_progress(&mut self, now: Time, progress: Progress) {
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
-            Step::Left => self.forget(now, key),
+            Step::Withdrawn => self.forget(now, key),
             Step::Report(report) => self.report(now, key, progress.attempt, report),
         }
     }
@@ -121,11 +121,11 @@
         };
         let assignment = Assignment {
             attempt: dispatch.attempt,
-            life: server.entry.life.clone(),
+            server: server.entry.life.clone(),
             address: dispatch.address,
-            tokens: choice.tokens,
-            salt: dispatch.salt,
-            weights: dispatch.weights,
+            prefill_tokens: choice.tokens,
+            cache_salt: dispatch.cache_salt,
+            weights_version: dispatch.weights_version,
             fetch_from: dispatch.fetch_from,
             save_to: dispatch.save_to,
         };
@@ -134,7 +134,7 @@
 
     fn rule(&mut self, origin: &Origin, ruling: Decision) {
         let daemon = self.identity.id.clone();
-        let verdict = Verdict { daemon, request: origin.request, ruling };
+        let verdict = Verdict { daemon, request: origin.request, decision: ruling };
         self.effects.push(Effect::Send(vec![origin.address], Frame::Verdict(Box::new(verdict))));
     }
 
@@ -191,11 +191,11 @@
         prefix: String::new(),
         repeat: submission.repeat,
         streams: submission.prompt.is_some(),
-        timeout: submission.left,
+        timeout: submission.time_left,
         target: submission.target,
-        priority: submission.rank,
+        priority: submission.priority,
         splits: vec![Split { pool: submission.pool.clone(), weight: 1 }],
-        attempts: submission.attempts,
+        attempts: submission.max_attempts,
         public: true,
     };
     let arrival = Arrival {
@@ -205,7 +205,7 @@
         workspace: submission
             .workspace
             .map(|owner| Arc::new(Workspace { priority: None, ..owner })),
-        deadline: now + submission.left,
+        deadline: now + submission.time_left,
         prompt: submission.prompt,
         fingerprint: submission.fingerprint,
     };
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -21,16 +21,16 @@
     /// The attempt, as the scheduler counts.
     attempt: u32,
     server: server::Key,
-    tokens: u32,
+    prefill_tokens: u32,
     begun: bool,
-    at: Time,
+    sent_at: Time,
 }
 
 /// How far the scheduling of a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::fleet) enum Stage {
     /// The scheduler was told at this time and has not answered.
-    Asked(Time),
+    AwaitingVerdict(Time),
     /// It waits at the scheduler.
     Queued,
     /// It was sent to the server assigned.
@@ -44,7 +44,7 @@
         if request.origin.is_some() || request.submissions >= MAX_SUBMISSIONS {
             return false;
         }
-        let is_undecided = request.undecided_until.is_some();
+        let is_undecided = request.admission_deadline.is_some();
         let known = self.scheduler_of(now, &request.pool);
         let Some(scheduler) =
             known.or_else(|| self.last_heard_scheduler(now).filter(|_| is_undecided))
@@ -55,7 +55,7 @@
         let scheduler = scheduler.to_owned();
         let submission = submission(now, &self.identity, &request.pool, &request.arrival);
         if let Some(request) = self.requests.get_mut(&key) {
-            request.phase = Phase::Submitted(Stage::Asked(now));
+            request.phase = Phase::Submitted(Stage::AwaitingVerdict(now));
             request.scheduler = scheduler;
             request.submissions += 1;
         }
@@ -67,26 +67,26 @@
 
     /// Takes over what a scheduler decided.
     pub(in crate::fleet) fn handle_verdict(&mut self, now: Time, verdict: Verdict) {
-        let Verdict { daemon, request: key, ruling } = verdict;
+        let Verdict { daemon, request: key, decision: ruling } = verdict;
         let waits_for_it = |request: &&mut Request| {
             matches!(request.phase, Phase::Submitted(_)) && request.scheduler == daemon
         };
         let Some(request) = self.requests.get_mut(&key).filter(waits_for_it) else {
             // It was placed without the scheduler, or its caller has gone; the place is free again.
             if matches!(ruling, Decision::Send(_) | Decision::Queued) {
-                self.tell_scheduler(&daemon, key, 0, Step::Left);
+                self.tell_scheduler(&daemon, key, 0, Step::Withdrawn);
             }
             return;
         };
         self.asked.remove(&key);
         match ruling {
             Decision::Queued => {
-                if matches!(request.phase, Phase::Submitted(Stage::Asked(_))) {
+                if matches!(request.phase, Phase::Submitted(Stage::AwaitingVerdict(_))) {
                     request.phase = Phase::Submitted(Stage::Queued);
                 }
             }
             Decision::Send(assignment) => self.assigned(now, key, assignment),
-            Decision::Refuse(code, after) if request.runs == 0 => {
+            Decision::Refuse(code, after) if request.possible_runs == 0 => {
                 self.effects.push(Effect::Command(key, Command::Refuse(code, after)));
                 self.requests.remove(&key);
             }
@@ -103,35 +103,35 @@
 
     /// Sends a request where its scheduler wants it, unless this daemon knows better.
     fn assigned(&mut self, now: Time, key: Key, assignment: Assignment) {
-        let Some(server) = self.lives.server(&assignment.life) else {
+        let Some(server) = self.lives.server(&assignment.server) else {
             return self.withdraw_from_scheduler(now, key);
         };
-        if !self.may_be_sent(now, key, server, assignment.weights) {
+        if !self.may_be_sent(now, key, server, assignment.weights_version) {
             return self.withdraw_from_scheduler(now, key);
         }
         let most_idle = self.most_idle(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         request.sends += 1;
-        request.runs += 1;
+        request.possible_runs += 1;
         request.tried.push(server);
-        request.weights = assignment.weights;
+        request.weights_version = assignment.weights_version;
         request.phase = Phase::Submitted(Stage::Placed(Placement {
             attempt: assignment.attempt,
             server,
-            tokens: assignment.tokens,
+            prefill_tokens: assignment.prefill_tokens,
             begun: false,
-            at: now,
+            sent_at: now,
         }));
         let dispatch = Dispatch {
             attempt: request.sends,
-            server: assignment.life.id,
+            server: assignment.server.id,
             address: assignment.address,
-            salt: assignment.salt,
-            weights: assignment.weights,
+            cache_salt: assignment.cache_salt,
+            weights_version: assignment.weights_version,
             fetch_from: assignment.fetch_from,
             save_to: assignment.save_to,
             priority: Self::rank(request).min(9),
-            most_idle,
+            max_idle: most_idle,
         };
         self.counts.sent += 1;
         self.log_assigned(now, key, &dispatch);
@@ -147,7 +147,7 @@
             (Some(prompt), Some(version)) => self.may_begin(now, &prompt.model, version),
             _ => true,
         };
-        stays && begins && (request.runs == 0 || request.may_repeat())
+        stays && begins && (request.possible_runs == 0 || request.may_repeat())
     }
 
     /// Takes over what became of an attempt that a scheduler assigned, and tells it.
@@ -181,7 +181,7 @@
                 self.counts.declined += 1;
                 self.heard(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
-                self.did_not_run(now, key, refused != Refusal::Gone);
+                self.did_not_run(now, key, refused != Refusal::Replaced);
             }
             Report::Unsent => {
                 self.log_failed(key, server, "it could not be connected to");
@@ -205,7 +205,7 @@
         if placed.begun {
             return;
         }
-        self.log_begun(now, key, placed.at);
+        self.log_begun(now, key, placed.sent_at);
         if let Some(request) = self.requests.get_mut(&key) {
             let placed = Placement { begun: true, ..placed };
             request.phase = Phase::Submitted(Stage::Placed(placed));
@@ -215,9 +215,9 @@
     /// Waits for the scheduler's next word on a request that did not run.
     fn did_not_run(&mut self, now: Time, key: Key, arrived: bool) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.runs -= 1;
-            request.owes |= arrived;
-            request.phase = Phase::Submitted(Stage::Asked(now));
+            request.possible_runs -= 1;
+            request.draws_on_retry_budget |= arrived;
+            request.phase = Phase::Submitted(Stage::AwaitingVerdict(now));
             self.asked.insert(key);
         }
     }
@@ -226,8 +226,8 @@
     fn may_have_run(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() {
-            request.owes = true;
-            request.phase = Phase::Submitted(Stage::Asked(now));
+            request.draws_on_retry_budget = true;
+            request.phase = Phase::Submitted(Stage::AwaitingVerdict(now));
             self.asked.insert(key);
             return;
         }
@@ -239,7 +239,7 @@
     pub(in crate::fleet) fn check_schedulers(&mut self, now: Time) {
         let unanswered = self.asked.iter().filter_map(|key| {
             let request = self.requests.get(key)?;
-            let Phase::Submitted(Stage::Asked(at)) = request.phase else { return None };
+            let Phase::Submitted(Stage::AwaitingVerdict(at)) = request.phase else { return None };
             (now >= at + ANSWERED).then(|| request.scheduler.clone())
         });
         let unanswered: BTreeSet<String> = unanswered.collect();
@@ -252,7 +252,7 @@
             !self.peers.get(id).is_some_and(|peer| peer.is_fresh(now) && !peer.is_draining())
         };
         let left = self.requests.iter().filter(|(_, request)| match request.phase {
-            Phase::Submitted(Stage::Asked(_) | Stage::Queued) => {
+            Phase::Submitted(Stage::AwaitingVerdict(_) | Stage::Queued) => {
                 unanswered.contains(&request.scheduler) || gone(&request.scheduler)
             }
             Phase::Submitted(Stage::Placed(_)) => gone(&request.scheduler),
@@ -268,7 +268,7 @@
     pub(in crate::fleet) fn withdraw_from_scheduler(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let scheduler = request.scheduler.clone();
-        self.tell_scheduler(&scheduler, key, 0, Step::Left);
+        self.tell_scheduler(&scheduler, key, 0, Step::Withdrawn);
         self.counts.unscheduled += 1;
         self.continue_without_scheduler(now, key);
     }
@@ -279,20 +279,20 @@
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Phase::Submitted(stage) = request.phase else { return };
         request.scheduler.clear();
-        let Stage::Placed(Placement { server, tokens, begun, at, .. }) = stage else {
+        let Stage::Placed(Placement { server, prefill_tokens, begun, sent_at, .. }) = stage else {
             request.phase = Phase::Waiting(now);
             if !self.submit(now, key) && self.let_in(now, key) {
                 self.send_or_wait(now, key);
             }
             return;
         };
-        request.phase = Phase::Sent { server, tokens, begun, at };
+        request.phase = Phase::Sent { server, prefill_tokens, begun, sent_at };
         // The scheduler counted it.
-        request.counted = request.runs;
+        request.charged_runs = request.possible_runs;
         if let Some(server) = self.servers.get_mut(server) {
             server.running += 1;
             if !begun {
-                server.pending_tokens = server.pending_tokens.saturating_add(tokens);
+                server.pending_tokens = server.pending_tokens.saturating_add(prefill_tokens);
             }
         }
     }
@@ -303,7 +303,7 @@
         let Some(request) = self.requests.get(&key) else { return };
         if matches!(request.phase, Phase::Submitted(_)) {
             let scheduler = request.scheduler.clone();
-            self.tell_scheduler(&scheduler, key, 0, Step::Left);
+            self.tell_scheduler(&scheduler, key, 0, Step::Withdrawn);
         }
     }
 
@@ -333,11 +333,11 @@
         route: route.name.clone(),
         repeat: route.repeat,
         target: route.target,
-        rank: workspace.and_then(|owner| owner.priority).unwrap_or(route.priority),
-        attempts: route.attempts,
+        priority: workspace.and_then(|owner| owner.priority).unwrap_or(route.priority),
+        max_attempts: route.attempts,
         pool: pool.to_owned(),
         workspace: workspace.cloned(),
-        left: arrival.deadline.saturating_sub(now),
+        time_left: arrival.deadline.saturating_sub(now),
         prompt: arrival.prompt.clone(),
         fingerprint: arrival.fingerprint,
     }
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -168,11 +168,11 @@
             route: submission.route,
             repeat,
             target_ms: ms(submission.target),
-            rank: u32::from(submission.rank),
-            attempts: submission.attempts,
+            rank: u32::from(submission.priority),
+            attempts: submission.max_attempts,
             pool: submission.pool,
             isolated,
-            left_ms: ms(submission.left),
+            left_ms: ms(submission.time_left),
             prompt: submission.prompt.map(WirePrompt::from),
             fingerprint: submission.fingerprint.0,
             workspace,
@@ -206,11 +206,11 @@
             route: wire.route,
             repeat,
             target: span(wire.target_ms),
-            rank: u8::try_from(wire.rank).map_err(|_| unknown("rank", wire.rank))?,
-            attempts: wire.attempts,
+            priority: u8::try_from(wire.rank).map_err(|_| unknown("rank", wire.rank))?,
+            max_attempts: wire.attempts,
             pool: wire.pool,
             workspace,
-            left: span(wire.left_ms),
+            time_left: span(wire.left_ms),
             prompt: wire.prompt.map(Prompt::try_from).transpose()?,
             fingerprint: Fingerprint(wire.fingerprint),
         })
@@ -266,17 +266,17 @@
 impl From<super::Progress> for Progress {
     fn from(progress: super::Progress) -> Self {
         let (step, weights) = match progress.step {
-            Step::Left => (0, None),
+            Step::Withdrawn => (0, None),
             Step::Report(Report::Begun(weights)) => (1, weights),
             Step::Report(Report::Ended) => (2, None),
             Step::Report(Report::Refused(Refusal::Busy)) => (3, None),
-            Step::Report(Report::Refused(Refusal::Gone)) => (4, None),
-            Step::Report(Report::Refused(Refusal::Weights(weights))) => (5, weights),
+            Step::Report(Report::Refused(Refusal::Replaced)) => (4, None),
+            Step::Report(Report::Refused(Refusal::WrongWeights(weights))) => (5, weights),
             Step::Report(Report::Unsent) => (6, None),
             Step::Report(Report::Lost(_)) => (7, None),
             Step::Report(Report::Failed) => (8, None),
         };
-        let unusable = progress.step == Step::Report(Report::Lost(Loss::Answer));
+        let unusable = progress.step == Step::Report(Report::Lost(Loss::InvalidAnswer));
         let super::Progress { daemon, request, attempt, .. } = progress;
         Self { daemon, request: request.0, attempt, step, weights, unusable }
     }
@@ -287,14 +287,14 @@
 
     fn try_from(wire: Progress) -> Result<Self, Malformed> {
         let step = match wire.step {
-            0 => Step::Left,
+            0 => Step::Withdrawn,
             1 => Step::Report(Report::Begun(wire.weights)),
             2 => Step::Report(Report::Ended),
             3 => Step::Report(Report::Refused(Refusal::Busy)),
-            4 => Step::Report(Report::Refused(Refusal::Gone)),
-            5 => Step::Report(Report::Refused(Refusal::Weights(wire.weights))),
+            4 => Step::Report(Report::Refused(Refusal::Replaced)),
+            5 => Step::Report(Report::Refused(Refusal::WrongWeights(wire.weights))),
             6 => Step::Report(Report::Unsent),
-            7 if wire.unusable => Step::Report(Report::Lost(Loss::Answer)),
+            7 if wire.unusable => Step::Report(Report::Lost(Loss::InvalidAnswer)),
             7 => Step::Report(Report::Lost(Loss::Connection)),
             8 => Step::Report(Report::Failed),
             other => return Err(unknown("step", other)),
@@ -308,12 +308,12 @@
     fn from(assignment: Assignment) -> Self {
         Self {
             attempt: assignment.attempt,
-            server: assignment.life.id,
-            born: assignment.life.born,
+            server: assignment.server.id,
+            born: assignment.server.born,
             address: assignment.address.to_string(),
-            tokens: assignment.tokens,
-            salt: assignment.salt,
-            weights: assignment.weights,
+            tokens: assignment.prefill_tokens,
+            salt: assignment.cache_salt,
+            weights: assignment.weights_version,
             fetch_from: assignment.fetch_from.map(|address| address.to_string()),
             save_to: assignment.save_to.map(|address| address.to_string()),
         }
@@ -326,11 +326,11 @@
     fn try_from(wire: WireAssignment) -> Result<Self, Malformed> {
         Ok(Self {
             attempt: wire.attempt,
-            life: Life::new(wire.server, wire.born),
+            server: Life::new(wire.server, wire.born),
             address: address(&wire.address)?,
-            tokens: wire.tokens,
-            salt: wire.salt,
-            weights: wire.weights,
+            prefill_tokens: wire.tokens,
+            cache_salt: wire.salt,
+            weights_version: wire.weights,
             fetch_from: maybe_address(wire.fetch_from)?,
             save_to: maybe_address(wire.save_to)?,
         })
@@ -340,7 +340,7 @@
 impl From<super::Verdict> for Verdict {
     fn from(verdict: super::Verdict) -> Self {
         let wire = Self { daemon: verdict.daemon, request: verdict.request.0, ..Self::default() };
-        match verdict.ruling {
+        match verdict.decision {
             Decision::Queued => Self { ruling: 0, ..wire },
             Decision::Send(assignment) => {
                 Self { ruling: 1, assignment: Some(assignment.into()), ..wire }
@@ -377,6 +377,6 @@
             4 => Decision::Return,
             other => return Err(unknown("ruling", other)),
         };
-        Ok(Self { daemon: wire.daemon, request: Key(wire.request), ruling })
+        Ok(Self { daemon: wire.daemon, request: Key(wire.request), decision: ruling })
     }
 }
--- a/src/fleet/tests/admission.rs
+++ b/src/fleet/tests/admission.rs
@@ -167,7 +167,7 @@
     let digest = Digest {
         daemon: "router-2".into(),
         address: address(2).to_string(),
-        busy: BTreeMap::from([(Life::new("e-1", 0), busy)]),
+        workloads: BTreeMap::from([(Life::new("e-1", 0), busy)]),
         ..Digest::default()
     };
     daemon.node.apply(ms(10), Message::Frame(Frame::Digest(Box::new(digest))));
--- a/src/fleet/tests/beliefs/carriage.rs
+++ b/src/fleet/tests/beliefs/carriage.rs
@@ -192,9 +192,9 @@
                     let key = format!("blocked-{}", block.0);
                     self.append(vm, Append::Record(Topic::Routers, key, value));
                 }
-                Effect::Order { server, id, version, fence, expect, .. } => {
+                Effect::Order { server, id, version, fence, expected_sequence: expect, .. } => {
                     let end = self.order(&id, version, fence, expect);
-                    self.mail(vm, ms(10), Post::of(Message::Ordered(server, end)));
+                    self.mail(vm, ms(10), Post::of(Message::OrderEnded(server, end)));
                 }
                 Effect::Poll(server, id, _) => {
                     let found = self.servers.iter().find(|server| server.id == id && server.is_up);
@@ -291,7 +291,7 @@
     pub(super) fn dispatched(&mut self, vm: usize, request: Key, dispatch: &Dispatch) {
         self.sends += 1;
         if self.is_steady(vm) {
-            if let Some(version) = dispatch.weights {
+            if let Some(version) = dispatch.weights_version {
                 self.check_begin(vm, version, "is sent to");
             }
             let known = self.store.newest(Topic::Servers);
@@ -314,12 +314,14 @@
             Some(server) if server.leaving || server.loads.is_some() => {
                 reports.push((ms(10), Report::Refused(Refusal::Busy)));
             }
-            Some(server) if dispatch.weights.is_some_and(|weights| weights != server.version) => {
-                let weights = Refusal::Weights(Some(server.version));
+            Some(server)
+                if dispatch.weights_version.is_some_and(|weights| weights != server.version) =>
+            {
+                let weights = Refusal::WrongWeights(Some(server.version));
                 reports.push((ms(10), Report::Refused(weights)));
             }
             Some(_) => {
-                reports.push((ms(40), Report::Begun(dispatch.weights)));
+                reports.push((ms(40), Report::Begun(dispatch.weights_version)));
                 reports.push((ms(160), Report::Ended));
             }
         }
--- a/src/fleet/tests/catalog.rs
+++ b/src/fleet/tests/catalog.rs
@@ -82,7 +82,7 @@
     for at in 40..44 {
         let (request, effects) = daemon.arrive(ms(at), &route, None);
         assert_eq!(dispatch(&effects).server, "s-2");
-        daemon.node.apply(ms(at), Message::Leave(request));
+        daemon.node.apply(ms(at), Message::Cancel(request));
     }
     // Its own next registration brings it back.
     daemon.put(ms(50), Topic::Servers, &[("s-1", "plain 11 ready"), ("s-2", "")]);
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -9,8 +9,8 @@
     let busy = Workload {
         running: 3,
         pending_tokens: 700,
-        ordered: true,
-        heard_ms: Some(12),
+        loading_weights: true,
+        last_answer_age_ms: Some(12),
         unanswered_ms: None,
     };
     Digest {
@@ -21,20 +21,20 @@
         read_ages: vec![Some(Duration::ZERO), None, Some(Duration::from_millis(90))],
         incarnation: u64::MAX,
         draining: true,
-        ends: vec![4, 0, 9],
-        busy: BTreeMap::from([(Life::new("server-1", 1_764_000_000_123), busy)]),
+        end_offsets: vec![4, 0, 9],
+        workloads: BTreeMap::from([(Life::new("server-1", 1_764_000_000_123), busy)]),
         weights: vec![(Life::new("server-1", 9), "m".into(), 4)],
-        heat: vec![(9, 120.5), (10, 0.0)],
+        hot_parts: vec![(9, 120.5), (10, 0.0)],
         refused: vec![Fingerprint(7)],
-        link_moved: 1 << 40,
+        link_bytes_moved: 1 << 40,
         blocked: vec![poison::Blocked {
             fingerprint: Fingerprint(9),
             age: Duration::from_millis(70),
         }],
-        sent: Duration::from_millis(1 << 33),
-        missed_nothing_for: Some(Duration::ZERO),
-        keeper: "router-2".into(),
-        used: vec![Use { workspace: "lab".into(), units: 1 << 40 }],
+        sent_at: Duration::from_millis(1 << 33),
+        caught_up_age: Some(Duration::ZERO),
+        quota_keeper: "router-2".into(),
+        quota_use: vec![Use { workspace: "lab".into(), units: 1 << 40 }],
         named: vec![Naming { model: "m".into(), version: 4, age: Some(Duration::from_millis(70)) }],
     }
 }
@@ -47,21 +47,21 @@
     ];
     for frame in [
         Frame::Digest(Box::new(digest())),
-        Frame::Ask("router-1".into(), Topic::Operator, 8),
+        Frame::Fetch("router-1".into(), Topic::Operator, 8),
         Frame::Notice(Notice {
             daemon: "router-1".into(),
             life: Life::new("server-1", 4),
             busy: Workload { running: 2, ..Workload::default() },
             parts: vec![7, u64::MAX],
         }),
-        Frame::Held(Told {
+        Frame::Residency(Told {
             daemon: "router-1".into(),
             keeper: Keeper::Engine(Life::new("server-1", 4)),
             number: 9,
             whole: true,
             changes: vec![(7, 0), (8, 13_300)],
         }),
-        Frame::AskHeld("router-2".into(), Keeper::Store(([10, 0, 0, 9], 80).into())),
+        Frame::FetchResidency("router-2".into(), Keeper::Store(([10, 0, 0, 9], 80).into())),
         Frame::Records(Batch { topic: Topic::Servers, from: 1, to: 3, records: records.clone() }),
         Frame::Snapshot(Batch { topic: Topic::Operator, from: 0, to: 3, records }),
         Frame::Poison(poison::Message::Strikes(vec![poison::Strike {
--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -51,7 +51,7 @@
     let digest = Digest {
         daemon: "router-2".into(),
         address: address(2).to_string(),
-        busy: BTreeMap::from([(Life::new("e-1", 1_000), busy)]),
+        workloads: BTreeMap::from([(Life::new("e-1", 1_000), busy)]),
         ..Digest::default()
     };
     daemon.node.apply(ms(10), Message::Frame(Frame::Digest(Box::new(digest.clone()))));
@@ -98,10 +98,10 @@
                     lease += 1;
                     Message::Lease(0, vec![(lease - 1, text)])
                 }
-                Effect::Order { server, expect, .. } => {
+                Effect::Order { server, expected_sequence: expect, .. } => {
                     key = Some(server);
                     given.push(expect);
-                    Message::Ordered(server, OrderEnd::Accepted)
+                    Message::OrderEnded(server, OrderEnd::Accepted)
                 }
                 _ => continue,
             };
--- a/src/fleet/tests/naming.rs
+++ b/src/fleet/tests/naming.rs
@@ -34,9 +34,9 @@
 fn send(daemon: &mut Daemon, now: Time) -> Vec<Option<u64>> {
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(now, &route, Some(prompt(7, 3)));
-    daemon.node.apply(now, Message::Leave(request));
+    daemon.node.apply(now, Message::Cancel(request));
     let dispatched = commands(&effects).into_iter().filter_map(|command| match command {
-        Command::Dispatch(dispatch) => Some(dispatch.weights),
+        Command::Dispatch(dispatch) => Some(dispatch.weights_version),
         Command::Refuse(..) | Command::GiveUp => None,
     });
     dispatched.collect()
@@ -102,9 +102,10 @@
 fn named_one_after_the_other_while_the_store_refused_the_daemon() {
     let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
     daemon.tick(ms(1_000));
-    daemon
-        .node
-        .apply(ms(1_000), Message::Down(Dependency::Topic(Topic::Operator), "refused".into()));
+    daemon.node.apply(
+        ms(1_000),
+        Message::ReadFailed(Dependency::Topic(Topic::Operator), "refused".into()),
+    );
     let value = Some(b"weights 3".to_vec());
     let third = vec![Record { key: "version/m".into(), offset: 3, value }];
     daemon.node.apply(ms(6_000), records(Topic::Operator, 1, 4, third));
@@ -118,7 +119,7 @@
 /// A peer's digest comes, and the daemon looks at it.
 fn hear(daemon: &mut Daemon, now: Time, last: u8, sent: Time, named: Vec<Naming>) {
     let (peer, address) = (format!("router-{last}"), address(last).to_string());
-    let digest = Digest { daemon: peer, address, sent, named, ..Digest::default() };
+    let digest = Digest { daemon: peer, address, sent_at: sent, named, ..Digest::default() };
     daemon.node.apply(now, Message::Frame(Frame::Digest(Box::new(digest))));
     daemon.tick(now + ms(5));
 }
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -25,13 +25,13 @@
 
 /// Everything that the store has of a topic comes.
 fn read_whole(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
-    daemon.node.apply(now, Message::Read(Read { batch, whole: true, asked: now }))
+    daemon.node.apply(now, Message::Read(Read { batch, is_snapshot: true, current_at: now }))
 }
 
 fn dispatches(daemon: &mut Daemon, now: Time, pool: &str) -> Vec<Dispatch> {
     let wanted = (pool == "engines").then(|| prompt(7, 3));
     let (request, effects) = daemon.arrive(now, &route(pool, Repeat::AtMostOnce, 1), wanted);
-    daemon.node.apply(now, Message::Leave(request));
+    daemon.node.apply(now, Message::Cancel(request));
     let sent = commands(&effects).into_iter().filter_map(|command| match command {
         Command::Dispatch(dispatch) => Some(dispatch),
         _ => None,
@@ -72,7 +72,7 @@
     );
     let mut peer = Daemon::new(2);
     told(&mut peer, ms(10), batch(Topic::Routers, 8, 9, &[record("router-1", 8, "router 1")]));
-    let ask = Frame::Ask("router-1".into(), Topic::Servers, 0);
+    let ask = Frame::Fetch("router-1".into(), Topic::Servers, 0);
     for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
         if let Effect::Send(_, frame) = effect {
             daemon.node.apply(ms(30), Message::Frame(frame));
@@ -137,8 +137,8 @@
     read_whole(&mut daemon, ms(30), batch(Topic::Servers, 0, 10, &pages));
     let read = Read {
         batch: batch(Topic::Servers, 10, 12, &[peer[0].clone()]),
-        whole: false,
-        asked: ms(40),
+        is_snapshot: false,
+        current_at: ms(40),
     };
     daemon.node.apply(ms(40), Message::Read(read));
     let sent = dispatches(&mut daemon, ms(50), "plain");
@@ -156,7 +156,7 @@
     let from = cut_off.node.end(Topic::Servers);
     let routers = [("router-1", "router 1")];
     peer.put(ms(10), Topic::Routers, &routers);
-    let ask = Frame::Ask("router-1".into(), Topic::Servers, from);
+    let ask = Frame::Fetch("router-1".into(), Topic::Servers, from);
     for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
         if let Effect::Send(_, frame) = effect {
             cut_off.node.apply(ms(30), Message::Frame(frame));
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -117,7 +117,7 @@
         ..Digest::default()
     };
     let effects = daemon.node.apply(ms(9_010), Message::Frame(Frame::Digest(Box::new(digest))));
-    assert_eq!(dispatch(&effects).weights, Some(2));
+    assert_eq!(dispatch(&effects).weights_version, Some(2));
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Event(Event::WeightsLoaded, _))));
     let told = daemon.tick(ms(9_300)).into_iter().find_map(|effect| match effect {
         Effect::Send(_, Frame::Digest(digest)) => Some(digest.weights),
@@ -170,13 +170,13 @@
     let digest = Digest {
         daemon: "router-002".into(),
         address: address(2).to_string(),
-        ends: vec![1, 9, 0],
+        end_offsets: vec![1, 9, 0],
         ..Digest::default()
     };
     daemon.node.apply(ms(1_100), Message::Frame(Frame::Digest(Box::new(digest))));
     daemon.tick(ms(1_110));
     let asked = daemon.tick(ms(1_400)).into_iter().find_map(|effect| match effect {
-        Effect::Send(_, Frame::Ask(_, Topic::Servers, from)) => Some(from),
+        Effect::Send(_, Frame::Fetch(_, Topic::Servers, from)) => Some(from),
         _ => None,
     });
     assert_eq!(asked, Some(1));
@@ -224,13 +224,13 @@
     let mut seen = Vec::new();
     for tracked in Dependency::ALL {
         for at in [100, 400, 700] {
-            let message = Message::Down(tracked, "it refused".into());
+            let message = Message::ReadFailed(tracked, "it refused".into());
             seen.extend(daemon.node.apply(ms(at), message));
         }
     }
     for topic in Topic::ALL {
         let batch = Batch { topic, from: 9, to: 9, records: Vec::new() };
-        let read = Read { batch, whole: false, asked: ms(1_100) };
+        let read = Read { batch, is_snapshot: false, current_at: ms(1_100) };
         seen.extend(daemon.node.apply(ms(1_100), Message::Read(read)));
     }
     seen.extend(daemon.node.apply(ms(1_100), Message::Lease(0, Vec::new())));
@@ -277,7 +277,7 @@
     let records = vec![Record { key: "router-2".into(), offset: 8, value: router }];
     let batch = Batch { topic: Topic::Routers, from: 8, to: 9, records };
     daemon.node.apply(ms(10), Message::Frame(Frame::Records(batch)));
-    let ask = Frame::Ask("router-2".into(), Topic::Operator, 0);
+    let ask = Frame::Fetch("router-2".into(), Topic::Operator, 0);
     let effects = daemon.node.apply(ms(20), Message::Frame(ask));
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Send(_, Frame::Records(_)))));
 }
--- a/src/fleet/tests/poison.rs
+++ b/src/fleet/tests/poison.rs
@@ -115,7 +115,7 @@
         let key = ask(&mut site, n % 3, FATAL);
         let sent = site.sent(n % 3, key);
         site.ended.insert(sent.address);
-        site.report(n % 3, key, sent.attempt, Report::Lost(Loss::Answer));
+        site.report(n % 3, key, sent.attempt, Report::Lost(Loss::InvalidAnswer));
         site.pass(ms(5_000));
         site.ended.clear();
     }
@@ -308,7 +308,7 @@
                 site.apply(to, message);
             }
         }
-        site.apply(round, Message::Leave(key));
+        site.apply(round, Message::Cancel(key));
         // It runs for seconds: only where servers end seldom it is no chance that it is at each end.
         site.pass(ms(30_000));
     }
--- a/src/fleet/tests/requests.rs
+++ b/src/fleet/tests/requests.rs
@@ -75,13 +75,13 @@
         let now = ms(5_000 + step * 10);
         let (request, effects) = daemon.arrive(now, &route, None);
         if commands(&effects).is_empty() {
-            daemon.node.apply(now, Message::Leave(request));
+            daemon.node.apply(now, Message::Cancel(request));
             continue;
         }
         requests += 1;
         let effects = daemon.report(now, request, 1, Report::Failed);
         repeats += commands(&effects).iter().filter(|c| matches!(c, Command::Dispatch(_))).count();
-        daemon.node.apply(now, Message::Leave(request));
+        daemon.node.apply(now, Message::Cancel(request));
     }
     let allowed = f64::from(requests) * POLICY.retry_ratio + POLICY.retry_slack;
     assert!(repeats > 10 && repeats as f64 <= allowed, "{repeats} repeats of {requests}");
@@ -175,7 +175,7 @@
     let (first, _) = daemon.arrive(ms(10), &route, None);
     daemon.arrive(ms(10), &route, None);
     assert!(commands(&daemon.arrive(ms(11), &route, None).1).is_empty());
-    let effects = daemon.node.apply(ms(12), Message::Leave(first));
+    let effects = daemon.node.apply(ms(12), Message::Cancel(first));
     assert_eq!(commands(&effects).len(), 1);
 }
 
@@ -187,7 +187,7 @@
     for _ in 0..200 {
         let (request, _) = daemon.arrive(ms(1_000), &resumable, Some(prompt(1, 2)));
         daemon.report(ms(1_000), request, 1, Report::Failed);
-        daemon.node.apply(ms(1_000), Message::Leave(request));
+        daemon.node.apply(ms(1_000), Message::Cancel(request));
     }
     let (request, _) = daemon.arrive(ms(10_900), &resumable, Some(prompt(1, 2)));
     daemon.report(ms(10_910), request, 1, Report::Begun(Some(1)));
@@ -205,7 +205,7 @@
     let (sent, _) = daemon.arrive(ms(30), &route, None);
     let (waiting, _) = daemon.arrive(ms(40), &route, None);
     daemon.node.apply(ms(50), Message::Stop);
-    let effects = daemon.node.apply(ms(60), Message::StopEnds);
+    let effects = daemon.node.apply(ms(60), Message::StopDeadline);
     let told: Vec<(Key, Command)> = effects
         .into_iter()
         .filter_map(|effect| match effect {
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -118,7 +118,7 @@
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemons[at].arrive_for(now, &route, Some(prompt(7, subject)), owner);
     let sent = placed(daemons, now, at, effects);
-    let effects = daemons[at].node.apply(now, Message::Leave(request));
+    let effects = daemons[at].node.apply(now, Message::Cancel(request));
     carry(daemons, &mut Keepers::default(), now, at, effects, none);
     sent
 }
@@ -227,7 +227,9 @@
     keepers.keep(holder, "1", 7, 2_500);
     keepers.keep(holder, "1", subject, 3_800);
     // What is told of it now reaches nobody.
-    run(&mut daemons, &mut keepers, ms(1_000), ms(200), |frame| matches!(frame, Frame::Held(_)));
+    run(&mut daemons, &mut keepers, ms(1_000), ms(200), |frame| {
+        matches!(frame, Frame::Residency(_))
+    });
     run(&mut daemons, &mut keepers, ms(1_200), ms(2_500), none);
     for daemon in 0..3 {
         let sent = send(&mut daemons, daemon, ms(3_710), subject);
@@ -287,7 +289,7 @@
     for _ in 0..4 {
         let (request, effects) = daemons[1].arrive(ms(1_011), &route, Some(small.clone()));
         assert_ne!(placed(&mut daemons, ms(1_011), 1, effects).server, reader);
-        let effects = daemons[1].node.apply(ms(1_012), Message::Leave(request));
+        let effects = daemons[1].node.apply(ms(1_012), Message::Cancel(request));
         carry(&mut daemons, &mut keepers, ms(1_012), 1, effects, none);
     }
 }
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -17,7 +17,7 @@
     let (request, effects) =
         daemon.arrive(now, &route("engines", Repeat::AtMostOnce, 1), Some(prompt(7, 3)));
     let sent = commands(&effects).into_iter().find_map(|command| match command {
-        Command::Dispatch(dispatch) => dispatch.weights,
+        Command::Dispatch(dispatch) => dispatch.weights_version,
         Command::Refuse(..) | Command::GiveUp => None,
     });
     (request, sent)
@@ -42,7 +42,7 @@
 #[test]
 fn named_after_an_outage_that_swallowed_all_reads() {
     let mut site = Site::new(3, &[("e-1", OLD)]);
-    let failed = || Message::Down(Dependency::Topic(Topic::Operator), "no answer".into());
+    let failed = || Message::ReadFailed(Dependency::Topic(Topic::Operator), "no answer".into());
     site.daemons[0].hear_store(site.now);
     site.pass(ms(400));
     for daemon in &mut site.daemons[1..] {
@@ -73,7 +73,7 @@
         site.arrive(index, "engines", Repeat::AtMostOnce);
     }
     let sent = site.told.iter().flatten().filter_map(|(_, command)| match command {
-        Command::Dispatch(dispatch) => dispatch.weights,
+        Command::Dispatch(dispatch) => dispatch.weights_version,
         Command::Refuse(..) | Command::GiveUp => None,
     });
     let sent: Vec<u64> = sent.collect();
@@ -91,7 +91,7 @@
     }
     daemon.hear_store(ms(4_000));
     let named_at = ms(4_050);
-    let failed = Message::Down(Dependency::Topic(Topic::Operator), "reset".into());
+    let failed = Message::ReadFailed(Dependency::Topic(Topic::Operator), "reset".into());
     daemon.node.apply(ms(4_060), failed);
     for time in (4_060..5_950).step_by(50) {
         daemon.tick(ms(time));
@@ -151,7 +151,7 @@
         site.pass(ms(5_300));
         let (other, scheduler) = (site.other(), site.scheduler("engines"));
         let key = site.arrive(other, "engines", Repeat::AtMostOnce);
-        assert_eq!(site.sent(other, key).weights, Some(1));
+        assert_eq!(site.sent(other, key).weights_version, Some(1));
         site.pass(named_at + ms(7_400) - site.now);
         if scheduler_ends {
             site.down.insert(scheduler);
@@ -173,7 +173,7 @@
     let end = daemon.node.end(Topic::Operator);
     let read = |asked, to, records| {
         let batch = Batch { topic: Topic::Operator, from: end, to, records };
-        Message::Read(Read { batch, whole: false, asked })
+        Message::Read(Read { batch, is_snapshot: false, current_at: asked })
     };
     let value = Some(b"weights 2".to_vec());
     let second = Record { key: "version/m".into(), offset: end, value };
@@ -205,14 +205,14 @@
             peer.node.apply(ms(time), Message::Frame(frame));
         }
         if time == 4_000 {
-            let failed = Message::Down(Dependency::Topic(Topic::Operator), "refused".into());
+            let failed = Message::ReadFailed(Dependency::Topic(Topic::Operator), "refused".into());
             daemon.node.apply(ms(time), failed);
         }
     }
     let named_at = ms(4_100);
     let end = peer.node.end(Topic::Operator);
     let batch = Batch { topic: Topic::Operator, from: end, to: end, records: Vec::new() };
-    let read = Read { batch, whole: false, asked: ms(4_000) };
+    let read = Read { batch, is_snapshot: false, current_at: ms(4_000) };
     peer.node.apply(ms(5_500), Message::Read(read));
     for time in (5_550..7_400).step_by(50) {
         let told = digests(peer.tick(ms(time)));
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -16,7 +16,7 @@
 fn send(daemon: &mut Daemon, now: Time) -> Vec<Command> {
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(now, &route, Some(prompt(7, 3)));
-    daemon.node.apply(now, Message::Leave(request));
+    daemon.node.apply(now, Message::Cancel(request));
     commands(&effects)
 }
 
@@ -28,7 +28,10 @@
     assert!(send(&mut daemon, ms(6_600)).is_empty());
     daemon.put(ms(8_200), Topic::Servers, &[("e-2", "engine 22 ready 2")]);
     let sent = send(&mut daemon, ms(8_300));
-    assert!(matches!(&sent[..], [Command::Dispatch(d)] if d.weights == Some(2)), "{sent:?}");
+    assert!(
+        matches!(&sent[..], [Command::Dispatch(d)] if d.weights_version == Some(2)),
+        "{sent:?}"
+    );
 }
 
 #[test]
@@ -54,7 +57,9 @@
         let seen = commands(&daemon.tick(ms(8_700)));
         match repeat {
             Repeat::Resumable => {
-                assert!(matches!(&seen[..], [Command::Dispatch(d)] if d.weights == Some(2)));
+                assert!(
+                    matches!(&seen[..], [Command::Dispatch(d)] if d.weights_version == Some(2))
+                );
             }
             _ => assert_eq!(seen, [Command::GiveUp]),
         }
@@ -75,10 +80,10 @@
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 3)));
-    assert_eq!(dispatch(&effects).weights, Some(1));
-    let refused = Report::Refused(Refusal::Weights(Some(2)));
+    assert_eq!(dispatch(&effects).weights_version, Some(1));
+    let refused = Report::Refused(Refusal::WrongWeights(Some(2)));
     let effects = daemon.report(ms(20), request, 1, refused);
-    assert_eq!(dispatch(&effects).weights, Some(2));
+    assert_eq!(dispatch(&effects).weights_version, Some(2));
 }
 
 /// Daemons that share a lease log and engines which carry orders out in 500 ms.
@@ -148,7 +153,7 @@
                 Effect::Order { server, id, version, fence, .. } => {
                     self.orders.push((now, index, id.clone(), version, fence));
                     self.loading.push((now + ms(500), index, id, version));
-                    let ended = Message::Ordered(server, OrderEnd::Accepted);
+                    let ended = Message::OrderEnded(server, OrderEnd::Accepted);
                     self.daemons[index].node.apply(now, ended);
                 }
                 Effect::Send(to, frame) => {
@@ -244,11 +249,11 @@
     let record = record.expect("the lease is free");
     let effects = daemon.node.apply(ms(4_030), Message::Lease(0, vec![(0, record)]));
     let server = effects.iter().find_map(|effect| match effect {
-        Effect::Order { server, expect: 0, .. } => Some(*server),
+        Effect::Order { server, expected_sequence: 0, .. } => Some(*server),
         _ => None,
     });
     let server = server.expect("the engine lacks what was named");
-    daemon.node.apply(ms(4_100), Message::Ordered(server, OrderEnd::Unknown));
+    daemon.node.apply(ms(4_100), Message::OrderEnded(server, OrderEnd::Unknown));
     let effects = daemon.tick(ms(4_120));
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Poll(..))));
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Order { .. })));
@@ -257,7 +262,9 @@
     let state = State { weights, busy: false, sequence: 1, born: 0 };
     daemon.node.apply(ms(4_200), Message::Polled(server, Some(state)));
     let effects = daemon.tick(ms(4_220));
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::Order { expect: 1, .. })));
+    assert!(
+        effects.iter().any(|effect| matches!(effect, Effect::Order { expected_sequence: 1, .. }))
+    );
 }
 
 #[test]
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -71,7 +71,7 @@
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
-    site.apply(other, Message::Leave(key));
+    site.apply(other, Message::Cancel(key));
     assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open()), (0, 0));
 }
 
@@ -120,15 +120,15 @@
     let daemon = format!("router-{}", scheduler + 1);
     let assignment = Assignment {
         attempt: 2,
-        life: Life::new("s-2", 0),
+        server: Life::new("s-2", 0),
         address: address(102),
-        tokens: 0,
-        salt: None,
-        weights: None,
+        prefill_tokens: 0,
+        cache_salt: None,
+        weights_version: None,
         fetch_from: None,
         save_to: None,
     };
-    let verdict = Verdict { daemon, request: key, ruling: Decision::Send(assignment) };
+    let verdict = Verdict { daemon, request: key, decision: Decision::Send(assignment) };
     site.apply(other, Message::Frame(Frame::Verdict(Box::new(verdict.clone()))));
     assert!(site.commands(other, key).is_empty());
     site.report(other, key, sent.attempt, Report::Lost(Loss::Connection));
@@ -182,7 +182,7 @@
     let waits = site.arrive(other, "plain", Repeat::AtMostOnce);
     site.apply(other, Message::Stop);
     assert!(site.commands(other, waits).is_empty());
-    site.apply(other, Message::StopEnds);
+    site.apply(other, Message::StopDeadline);
     let commands = site.commands(other, waits);
     assert!(matches!(commands.as_slice(), [Command::Refuse(Code::Draining, _)]), "{commands:?}");
     assert_eq!(site.daemons[scheduler].node.open(), 2, "it no longer waits there");
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -7,7 +7,7 @@
 
 fn ask(daemon: &mut Daemon, now: Time) -> Vec<Command> {
     let (request, effects) = daemon.arrive(now, &route("plain", Repeat::AtMostOnce, 1), None);
-    daemon.node.apply(now, Message::Leave(request));
+    daemon.node.apply(now, Message::Cancel(request));
     commands(&effects)
 }
 
@@ -31,7 +31,7 @@
 #[test]
 fn registration_lapsed_in_an_outage_is_kept_until_it_could_have_returned() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
-    let down = Message::Down(Dependency::Topic(Topic::Servers), "down".into());
+    let down = Message::ReadFailed(Dependency::Topic(Topic::Servers), "down".into());
     daemon.node.apply(ms(1_000), down);
     daemon.put(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
     assert_eq!(ask(&mut daemon, ms(1_600)).len(), 1);
@@ -48,7 +48,7 @@
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let record = Record { key: "s-2".into(), offset: 9, value: Some(b"plain 12 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 0, to: 100, records: vec![record] };
-    let read = Read { batch, whole: true, asked: ms(50) };
+    let read = Read { batch, is_snapshot: true, current_at: ms(50) };
     daemon.node.apply(ms(50), Message::Read(read));
     for at in 0..4 {
         let seen = ask(&mut daemon, ms(60 + at));
@@ -66,7 +66,7 @@
 fn send(daemon: &mut Daemon, now: Time, workspace: Option<Workspace>, subject: u64) -> Dispatch {
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive_for(now, &route, Some(prompt(7, subject)), workspace);
-    daemon.node.apply(now, Message::Leave(request));
+    daemon.node.apply(now, Message::Cancel(request));
     dispatch(&effects)
 }
 
@@ -86,14 +86,14 @@
     let lab = |isolated| Workspace { name: "lab".into(), priority: None, isolated, quota: None };
     let open = send(&mut daemon, ms(10), Some(lab(false)), 3);
     let isolated = send(&mut daemon, ms(11), Some(lab(true)), 3);
-    assert_eq!(open.salt, send(&mut daemon, ms(12), None, 3).salt);
-    assert_ne!(open.salt, isolated.salt);
-    daemon.node.apply(ms(20), Message::Ordered(Default::default(), OrderEnd::Held));
+    assert_eq!(open.cache_salt, send(&mut daemon, ms(12), None, 3).cache_salt);
+    assert_ne!(open.cache_salt, isolated.cache_salt);
+    daemon.node.apply(ms(20), Message::OrderEnded(Default::default(), OrderEnd::Held));
     let newer: Vec<(&str, &str)> =
         ENGINES.iter().map(|(id, _)| (*id, "engine 21 ready 2")).collect();
     daemon.put(ms(20), Topic::Servers, &newer);
-    assert_ne!(open.salt, send(&mut daemon, ms(21), None, 3).salt);
-    assert_eq!(send(&mut daemon, ms(22), None, 3).weights, Some(2));
+    assert_ne!(open.cache_salt, send(&mut daemon, ms(21), None, 3).cache_salt);
+    assert_eq!(send(&mut daemon, ms(22), None, 3).weights_version, Some(2));
 }
 
 fn stored(salt: &str, parts: &[u64], epoch: u64) -> Message {
@@ -194,7 +194,7 @@
     }
     assert!(sent.contains(&home));
     assert!(sent.len() < ENGINES.len(), "every engine reads the same parts: {sent:?}");
-    daemon.node.apply(ms(30), Message::Leave(first));
+    daemon.node.apply(ms(30), Message::Cancel(first));
 }
 
 /// Sixteen engines with weights 1.
@@ -214,8 +214,8 @@
     let digest = Digest {
         daemon: format!("router-{last:03}"),
         address: address(last).to_string(),
-        busy: busy.iter().map(|(id, busy)| (Life::new(*id, 0), *busy)).collect(),
-        heat: heat.to_vec(),
+        workloads: busy.iter().map(|(id, busy)| (Life::new(*id, 0), *busy)).collect(),
+        hot_parts: heat.to_vec(),
         ..Digest::default()
     };
     daemon.node.apply(now, Message::Frame(Frame::Digest(Box::new(digest))));
@@ -241,7 +241,7 @@
     for last in [1, 2, 3] {
         let mut daemon = with_sixteen(last);
         let home = send(&mut daemon, ms(10), None, 3).server;
-        let loading = Workload { ordered: true, ..Workload::default() };
+        let loading = Workload { loading_weights: true, ..Workload::default() };
         told(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
         let sent = send(&mut daemon, ms(30), None, 3).server;
         assert_ne!(sent, home);
@@ -289,16 +289,16 @@
 fn idle_connections_are_shared_by_all_daemons() {
     // The pool accepts 100 connections from all callers.
     let mut alone = with_sixteen(1);
-    assert_eq!(send(&mut alone, ms(10), None, 3).most_idle, 16);
+    assert_eq!(send(&mut alone, ms(10), None, 3).max_idle, 16);
     let mut many = with_sixteen(1);
     for last in 2..11 {
         told(&mut many, ms(10), last, &[], &[]);
     }
-    assert_eq!(send(&mut many, ms(20), None, 3).most_idle, 5);
+    assert_eq!(send(&mut many, ms(20), None, 3).max_idle, 5);
     for last in 11..100 {
         told(&mut many, ms(20), last, &[], &[]);
     }
-    assert_eq!(send(&mut many, ms(30), None, 3).most_idle, 1);
+    assert_eq!(send(&mut many, ms(30), None, 3).max_idle, 1);
 }
 
 /// The KV store keeps these parts and the engines none, by their events.
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -187,7 +187,7 @@
             Answer::Failed => {
                 self.wait = Duration::ZERO;
                 self.rests_until = now + node.pause();
-                return Some(Message::Down(self.tracked, "no answer".into()));
+                return Some(Message::ReadFailed(self.tracked, "no answer".into()));
             }
             Answer::Forgotten => {
                 self.next = None;
@@ -214,7 +214,7 @@
         };
         (self.next, self.wait) = (Some(to), node.wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
-        Some(Message::Read(Read { batch, whole, asked }))
+        Some(Message::Read(Read { batch, is_snapshot: whole, current_at: asked }))
     }
 }
 
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -189,7 +189,7 @@
         });
         let records = records.collect();
         let batch = Batch { topic, from, to: *next, records };
-        let read = Read { batch, whole: false, asked: now };
+        let read = Read { batch, is_snapshot: false, current_at: now };
         self.node.apply(now, Message::Read(read))
     }
 
--- a/src/relay/drain.rs
+++ b/src/relay/drain.rs
@@ -23,7 +23,7 @@
     };
     let end = async {
         Timer::after(most.saturating_sub(LAST_WORDS)).await;
-        entry.control.tell(Message::StopEnds);
+        entry.control.tell(Message::StopDeadline);
         Timer::after(most.min(LAST_WORDS)).await;
     };
     answered.or(end).await;
--- a/src/relay/passage.rs
+++ b/src/relay/passage.rs
@@ -78,7 +78,7 @@
 
 impl Drop for Passage<'_> {
     fn drop(&mut self) {
-        self.entry.control.tell(Message::Leave(self.key));
+        self.entry.control.tell(Message::Cancel(self.key));
     }
 }
 
@@ -218,7 +218,7 @@
             Err(Failure::Lost(cut)) => return Attempt::Over(Report::Lost(loss(&cut))),
         };
         match self.entry.dialect.verdict(&self.ask, &answer.response) {
-            Verdict::Foreign => Attempt::Over(Report::Lost(Loss::Answer)),
+            Verdict::Foreign => Attempt::Over(Report::Lost(Loss::InvalidAnswer)),
             Verdict::Refused(refused) => self.refused(dispatch, answer, refused).await,
             Verdict::Answer(weights) if self.route.streams && answer.response.status == 200 => {
                 self.stream(writer, dispatch, answer, weights, events).await
@@ -229,7 +229,7 @@
 
     async fn refused(&self, dispatch: &Dispatch, mut answer: Answer, refused: Refusal) -> Attempt {
         if answer.whole(MAX_ANSWER).await.is_ok() {
-            answer.finish(&self.entry.pool, dispatch.most_idle);
+            answer.finish(&self.entry.pool, dispatch.max_idle);
         }
         Attempt::Over(Report::Refused(refused))
     }
@@ -248,7 +248,7 @@
             Err(cut) => return Attempt::Over(Report::Lost(loss(&cut))),
         };
         let response = answer.response.clone();
-        answer.finish(&self.entry.pool, dispatch.most_idle);
+        answer.finish(&self.entry.pool, dispatch.max_idle);
         if response.status >= 500 {
             return Attempt::Failed(Box::new((response, body)));
         }
@@ -304,7 +304,7 @@
                 return Attempt::CallerGone;
             }
             if complete {
-                answer.finish(&self.entry.pool, dispatch.most_idle);
+                answer.finish(&self.entry.pool, dispatch.max_idle);
                 return Attempt::Ended(End::Answered);
             }
         }
@@ -314,7 +314,7 @@
 fn loss(cut: &Cut) -> Loss {
     match cut {
         Cut::Closed | Cut::Broken(_) => Loss::Connection,
-        Cut::Malformed(_) | Cut::TooLarge => Loss::Answer,
+        Cut::Malformed(_) | Cut::TooLarge => Loss::InvalidAnswer,
     }
 }
 
--- a/src/relay/tests/passage.rs
+++ b/src/relay/tests/passage.rs
@@ -105,12 +105,12 @@
         attempt,
         server: format!("s-{attempt}"),
         address,
-        salt: None,
-        weights: None,
+        cache_salt: None,
+        weights_version: None,
         fetch_from: None,
         save_to: None,
         priority: 5,
-        most_idle: 4,
+        max_idle: 4,
     })
 }
 
@@ -253,7 +253,7 @@
     let Ok(Letter::Message(message)) = scene.letters.recv_blocking() else {
         panic!("a message was expected")
     };
-    assert_eq!(*message, Message::StopEnds);
+    assert_eq!(*message, Message::StopDeadline);
     commands.try_send(Command::Refuse(Code::NoServer, Duration::ZERO)).expect("it waits");
     assert_eq!(block_on(drain(&scene.entry, Duration::from_secs(20))), 0);
     let mut answer = [0; 12];
