--- a/src/fleet/scheduling/message.rs
+++ b/src/fleet/scheduling/message.rs
@@ -1,4 +1,4 @@
-//! What daemons and schedulers tell each other about requests.
+//! Messages between daemons and schedulers about requests.
 
 use std::net::SocketAddr;
 
@@ -7,104 +7,104 @@
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
 
-/// A request for which a scheduler is to find a server.
+/// A request submitted to a scheduler for placement on a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Submission {
-    /// The daemon that has the request.
+    /// The daemon that received the request.
     pub daemon: String,
     /// That daemon's incarnation.
     pub incarnation: u64,
-    /// The request, as that daemon counts.
+    /// That daemon's key of the request.
     pub request: Key,
-    /// Its id, as the caller gave it.
+    /// The request id given by the caller.
     pub id: String,
-    /// Its route's name.
+    /// The name of its route.
     pub route: String,
-    /// What may be repeated of it.
+    /// The extent to which it may be repeated.
     pub repeat: Repeat,
-    /// The time within which its answer is on time.
+    /// The target latency of its answer.
     pub target: Duration,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// Servers that it may be run on.
+    /// The number of servers that may run it.
     pub max_attempts: u32,
-    /// The pool that is to serve it.
+    /// The pool that serves it.
     pub pool: String,
-    /// Its workspace, where it has one.
+    /// Its workspace, if any.
     pub workspace: Option<Workspace>,
-    /// Time until it is no longer wanted.
+    /// Time until its deadline.
     pub time_left: Duration,
-    /// Its prompt, where it goes to an engine.
+    /// Its prompt, if it goes to an engine.
     pub prompt: Option<Prompt>,
-    /// What it asks for and for whom.
+    /// The hash of its content and caller.
     pub fingerprint: Fingerprint,
 }
 
-/// What became of a request at the daemon that has it.
+/// A state change of a request at the daemon that received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// The attempt's state changed.
     Report(Report),
-    /// The scheduler need not care for it any more.
+    /// The scheduler can drop the request.
     Withdrawn,
 }
 
-/// A daemon's word to the scheduler of a request.
+/// A daemon's message to the scheduler of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Progress {
-    /// The daemon that has the request.
+    /// The daemon that received the request.
     pub daemon: String,
-    /// The request, as that daemon counts.
+    /// That daemon's key of the request.
     pub request: Key,
-    /// The attempt, as the scheduler counts; 0 where it assigned none.
+    /// The scheduler's number of the attempt; 0 if it assigned none.
     pub attempt: u32,
-    /// What happened.
+    /// The state change.
     pub step: Step,
 }
 
-/// Where a scheduler has a request sent.
+/// The server that a scheduler assigned to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// Counts the scheduler's attempts from 1.
+    /// The scheduler's number of the attempt, from 1.
     pub attempt: u32,
     /// The server.
     pub server: Life,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that the server is expected to compute.
     pub prefill_tokens: u32,
-    /// What cached prompts are kept under, for an engine.
+    /// The salt of cached prompts, for an engine.
     pub cache_salt: Option<String>,
-    /// The version that the engine's weights must have.
+    /// The required version of the engine's weights.
     pub weights_version: Option<u64>,
-    /// Where the engine first fetches cached parts that it lacks.
+    /// The source from which the engine first fetches cached parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
-    /// Where the engine sends the parts that it reads.
+    /// The destination to which the engine saves the parts that it computes.
     pub save_to: Option<SocketAddr>,
 }
 
-/// What a scheduler decided for a request.
+/// A scheduler's decision on a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// It waits for a server.
+    /// The request waits for a server.
     Queued,
-    /// It is to be sent.
+    /// Send the request to the assigned server.
     Send(Assignment),
-    /// It is to be refused, and may come back after the time given.
+    /// Refuse the request with this code and retry-after time.
     Refuse(Code, Duration),
-    /// It is to be ended with what is known of its last attempt.
+    /// End the request with the outcome of its last attempt.
     GiveUp,
-    /// The scheduler stops: the daemon decides.
+    /// The scheduler is stopping and leaves the decision to the daemon.
     Return,
 }
 
-/// A scheduler's word to the daemon that has a request.
+/// A scheduler's message to the daemon that received a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
     /// The scheduler.
     pub daemon: String,
-    /// The request, as the daemon that has it counts.
+    /// The receiving daemon's key of the request.
     pub request: Key,
-    /// What was decided.
+    /// The decision.
     pub decision: Decision,
 }
--- a/src/fleet/scheduling/mod.rs
+++ b/src/fleet/scheduling/mod.rs
@@ -1,15 +1,15 @@
-//! One daemon places the requests of all daemons for one pool: its scheduler.
+//! Each pool has one scheduler: a daemon that places the pool's requests for all daemons.
 //!
-//! Many daemons each see a few requests a second, before servers whose queues change within tens of
-//! milliseconds. Whatever they tell each other of their work is older than that, and what all tell
-//! all grows with the square of their number. So a few daemons, the same by every daemon's reckoning,
-//! keep the load, the cached parts and the queue of a pool; the others submit their requests and carry
-//! the bytes. What is exchanged grows with the requests, and decisions do not get worse with the number
-//! of daemons.
+//! Each of many daemons sees a few requests a second, while server queues change within tens of
+//! milliseconds. State exchanged between daemons is older than that, and all-to-all traffic grows with
+//! the square of their number. Therefore a few daemons, computed alike by every daemon, track the load,
+//! the cached parts and the queue of a pool. The other daemons submit their requests and forward the
+//! bytes. Traffic between daemons grows with the requests, and the quality of decisions does not depend
+//! on the number of daemons.
 //!
-//! A scheduler is no dependency. A request that gets no word within some milliseconds is placed by the
-//! daemon that has it, as are those whose scheduler has fallen silent. Rules do not hang on a scheduler
-//! either: whether a request may be sent once more is checked where its bytes are.
+//! A scheduler is not a hard dependency. The daemon that received a request places it itself if the
+//! scheduler does not reply within some milliseconds or has become silent. Correctness does not depend
+//! on a scheduler either: the daemon that holds a request's bytes checks whether it may be resent.
 
 mod message;
 mod ranking;
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -1,4 +1,4 @@
-//! Which daemons schedule.
+//! Selection of the daemons that act as schedulers.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -9,28 +9,28 @@
 use crate::fleet::peer::Peer;
 use crate::prelude::*;
 
-/// Daemons that schedule: one carries the pools, the others know enough to go on where it ends.
+/// Number of schedulers: one places the requests of a pool, the others have enough state to take over.
 const SCHEDULERS: usize = 3;
-/// Time between two looks at who schedules.
+/// Interval between updates of the ranking.
 const LOOK: Duration = Duration::from_millis(100);
-/// Time in which a daemon that ranks high is heard of if it is there: it tells all that it schedules
-/// twice a second at least.
+/// Silence after which a highly ranked daemon counts as gone: a scheduler sends digests to all daemons
+/// at least twice a second.
 const SILENT_AFTER: Duration = Duration::from_millis(1_500);
-/// Daemons after the schedulers that may take themselves for schedulers right after their start, when
-/// nobody has been heard of: with all of them, each of many would tell all others.
+/// Number of top-ranked daemons that may act as schedulers right after their start, before they have
+/// heard from any peer. Without the limit, each of many daemons would send digests to all others.
 const STARTERS: usize = 12;
-/// Daemons that read the platform's store also while schedulers read it: each read is charged for, and
-/// so many are enough for the store's word to reach all whichever of them are cut off.
+/// Number of top-ranked daemons that read the platform's store while schedulers read it, too. Each read
+/// has a cost, and this many suffice to spread the records whichever of them are cut off.
 const READERS: usize = 12;
-/// Time after a daemon's start from which it goes by whom it has heard alone.
+/// Time after its start from which a daemon relies only on the peers that it has heard from.
 const STARTED: Duration = Duration::from_secs(3);
-/// Time after a daemon's start in which schedulers make themselves heard: a daemon that starts among
-/// many reads nothing again meanwhile, or each would read every registration of the others.
+/// Time after a daemon's start within which it hears from the schedulers. Until then it does not read
+/// the store again; otherwise each of many starting daemons would read every other's registration.
 const SETTLED: Duration = Duration::from_millis(1_000);
-/// Time for which a scheduler that left a submission without a word gets no more of them.
+/// Time for which a scheduler that did not reply to a submission receives no further ones.
 const AVOIDED: Duration = Duration::from_millis(1_000);
 
-/// A daemon's place in the order in which daemons schedule: the larger VMs first, among them by a hash.
+/// The sort key of a daemon in the choice of schedulers: larger VMs first, then by a hash.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(in crate::fleet) struct Rank {
     cores: f32,
@@ -42,25 +42,25 @@
         Self { cores, hash: xxh3_64(id.as_bytes()) }
     }
 
-    /// Who goes before whom: the first is the least.
+    /// Compares two ranks; the preferred daemon is the lesser.
     fn order(&self, other: &Self) -> Ordering {
         other.cores.total_cmp(&self.cores).then(other.hash.cmp(&self.hash))
     }
 }
 
-/// Who schedules, as this daemon sees it.
+/// This daemon's view of the schedulers.
 #[derive(Debug, Default)]
 pub(in crate::fleet) struct Ranking {
-    /// The schedulers, the first in the order of daemons first; this daemon may be among them.
+    /// The schedulers by rank, highest first; may include this daemon.
     schedulers: Vec<String>,
     next_look: Time,
     started: Option<Time>,
-    /// Daemons that go before this one, heard of or not.
+    /// Number of daemons that rank above this one, whether heard from or not.
     before: usize,
 }
 
 impl Node {
-    /// Looks at who schedules, where that is due.
+    /// Updates the schedulers if the interval has passed.
     pub(in crate::fleet) fn update_ranking(&mut self, now: Time) {
         if now < self.ranking.next_look {
             return;
@@ -95,26 +95,26 @@
         self.hand_strikes(now, newcomers);
     }
 
-    /// Whether this daemon schedules and tells all daemons so.
+    /// Returns whether this daemon is a scheduler and announces it to all daemons.
     pub(in crate::fleet) fn is_scheduler(&self, now: Time) -> bool {
         let ranking = &self.ranking;
         let started = ranking.started.is_some_and(|at| now >= at + STARTED);
         (started || ranking.before < STARTERS) && ranking.schedulers.contains(&self.identity.id)
     }
 
-    /// The schedulers but this daemon.
+    /// The schedulers other than this daemon.
     pub(in crate::fleet) fn other_schedulers(&self) -> impl Iterator<Item = (&String, &Peer)> {
         let ids = self.ranking.schedulers.iter();
         ids.filter_map(|id| Some((id, self.peers.get(id)?)))
     }
 
-    /// Where the other schedulers listen that were heard of lately.
+    /// Addresses of the other schedulers that were heard from recently.
     pub(in crate::fleet) fn scheduler_addresses(&self, now: Time) -> Vec<SocketAddr> {
         let heard = self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now));
         heard.map(|(_, peer)| peer.address).collect()
     }
 
-    /// How many daemons go before this one in taking what only one may have.
+    /// The number of daemons that precede this one in claiming an exclusive resource.
     pub(in crate::fleet) fn rank_among_daemons(&self) -> u32 {
         let ranking = &self.ranking;
         let own = ranking.schedulers.iter().position(|id| *id == self.identity.id);
@@ -122,24 +122,24 @@
         u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
-    /// Whether this daemon is one of those that read the platform's store for the others.
+    /// Returns whether this daemon reads the platform's store for the others.
     pub(in crate::fleet) fn is_store_reader(&self) -> bool {
         self.ranking.before < READERS
     }
 
-    /// Whether this daemon has only just started: it has read everything once, and who reads on is not
-    /// known yet.
+    /// Returns whether this daemon started a moment ago: it has read everything once and does not know
+    /// the readers yet.
     pub(in crate::fleet) fn has_just_started(&self, now: Time) -> bool {
         self.ranking.started.is_none_or(|at| now < at + SETTLED)
     }
 
-    /// Whether there are daemons that leave reading to others.
+    /// Returns whether some daemons leave reading to others.
     pub(in crate::fleet) fn has_non_readers(&self) -> bool {
         self.peers.len() >= READERS
     }
 
-    /// The daemon that schedules what `name` names, a pool or a keeper of cached parts; `None` where it
-    /// is this one, or none is heard of.
+    /// The scheduler of `name`, which is a pool or a holder of cached parts; `None` if it is this daemon
+    /// or none was heard from.
     pub(in crate::fleet) fn scheduler_of(&self, now: Time, name: &str) -> Option<&str> {
         let score = |id: &str| xxh3_64_with_seed(name.as_bytes(), xxh3_64(id.as_bytes()));
         let usable = self.other_schedulers().filter(|(_, peer)| peer.may_schedule(now));
@@ -148,14 +148,14 @@
         (!own).then_some(best)
     }
 
-    /// A scheduler that was heard of lately, also one that is avoided: for what nobody else may let in.
+    /// The scheduler heard from last, even if avoided: for requests that only a scheduler can admit.
     pub(in crate::fleet) fn last_heard_scheduler(&self, now: Time) -> Option<&str> {
         let heard =
             self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now) && !peer.is_draining());
         heard.max_by_key(|(_, peer)| peer.heard).map(|(id, _)| id.as_str())
     }
 
-    /// Submits nothing to a scheduler for a while that left a submission without a word.
+    /// Suspends submissions to a scheduler that did not reply to one.
     pub(in crate::fleet) fn avoid_scheduler(&mut self, now: Time, scheduler: &str) {
         if let Some(peer) = self.peers.get_mut(scheduler) {
             peer.avoid_until(now + AVOIDED);
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -1,4 +1,4 @@
-//! The requests of other daemons that this one schedules.
+//! Requests of other daemons that this daemon schedules.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 use crate::prelude::*;
 use crate::route::{Route, Split, Workspace};
 
-/// Keys of other daemons' requests have this bit, so that they are none of this daemon's own.
+/// Bit set in the keys of other daemons' requests, to keep them apart from this daemon's own keys.
 const SERVED: u64 = 1 << 63;
-/// Time after a request's deadline at which it counts as ended, whatever its daemon did not tell.
+/// Time after a request's deadline at which it counts as ended even if its daemon did not report it.
 const OVER: Duration = Duration::from_secs(1);
-/// Time between two looks for requests that have ended untold.
+/// Interval between checks for requests whose end was not reported.
 const LOOK: Duration = Duration::from_secs(1);
 
-/// Whose request it is, where it is another daemon's.
+/// The daemon that submitted a request, with its key there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(in crate::fleet) struct Origin {
     daemon: String,
     request: Key,
     address: SocketAddr,
-    /// The incarnation of the daemon that has it.
+    /// The incarnation of that daemon.
     incarnation: u64,
 }
 
-/// The requests of other daemons.
+/// Index of the requests submitted by other daemons.
 #[derive(Debug, Default)]
 pub(in crate::fleet) struct Submissions {
     keys: BTreeMap<String, BTreeMap<Key, Key>>,
@@ -46,7 +46,7 @@
         key
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub(in crate::fleet) fn remove(&mut self, origin: &Origin) {
         if let Some(keys) = self.keys.get_mut(&origin.daemon) {
             keys.remove(&origin.request);
@@ -56,14 +56,14 @@
         }
     }
 
-    /// How many there are.
+    /// The number of submitted requests.
     pub(in crate::fleet) fn len(&self) -> usize {
         self.keys.values().map(BTreeMap::len).sum()
     }
 }
 
 impl Node {
-    /// Takes over a request for which another daemon wants a server.
+    /// Accepts a request that another daemon submits.
     pub(in crate::fleet) fn handle_submission(&mut self, now: Time, submission: Submission) {
         let Some(address) = self.peer_address(&submission.daemon) else { return };
         let Submission { daemon, incarnation, request, .. } = &submission;
@@ -73,7 +73,7 @@
             return self.rule(&origin, Decision::Return);
         }
         if let Some(known) = self.served.key(&origin.daemon, origin.request) {
-            // The daemon has started again and counts from the beginning.
+            // The daemon has restarted and reuses its request keys.
             self.forget(now, known);
         }
         let key = self.served.add(&origin.daemon, origin.request);
@@ -81,8 +81,8 @@
         self.take_in(now, arrival, pool, Some(origin));
     }
 
-    /// Tells the daemon that has a request that it waits here, at first or once more: a scheduler that
-    /// says nothing is taken to be gone.
+    /// Tells the submitting daemon that its request waits here, for the first time or again. Daemons
+    /// treat a scheduler that does not reply as gone.
     pub(in crate::fleet) fn send_queued(&mut self, key: Key) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         if let Some(origin) = origin {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes over what another daemon tells of a request that this one schedules.
+    /// Handles a state change of a request that this daemon schedules for another.
     pub(in crate::fleet) fn handle_progress(&mut self, now: Time, progress: Progress) {
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Tells whoever has a request what to do: traffic here, or the daemon that submitted it.
+    /// Sends a command for a request to the local traffic handler or to the daemon that submitted it.
     pub(in crate::fleet) fn command(&mut self, key: Key, command: Command) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         let Some(origin) = origin else {
@@ -108,12 +108,12 @@
         match command {
             Command::Refuse(code, after) => self.rule(&origin, Decision::Refuse(code, after)),
             Command::GiveUp => self.rule(&origin, Decision::GiveUp),
-            // Those are assigned with what the daemon needs to go on by itself.
+            // `assign` sends these, with the details that the daemon needs to continue on its own.
             Command::Dispatch(_) => {}
         }
     }
 
-    /// Has a request sent to the server chosen.
+    /// Dispatches a request to the chosen server.
     pub(in crate::fleet) fn assign(&mut self, key: Key, dispatch: Dispatch, choice: &Choice) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         let (Some(origin), Some(server)) = (origin, self.servers.get(choice.server)) else {
@@ -138,7 +138,7 @@
         self.effects.push(Effect::Send(vec![origin.address], Frame::Verdict(Box::new(verdict))));
     }
 
-    /// Gives back what waits here for other daemons: this one stops.
+    /// Returns the queued requests of other daemons because this daemon is stopping.
     pub(in crate::fleet) fn return_queued_requests(&mut self, now: Time) {
         let waits = |request: &Request| matches!(request.phase, Phase::Waiting(_));
         let waiting = self.requests.iter().filter(|(_, request)| waits(request));
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Forgets requests whose time is over, since their end may have been told in vain.
+    /// Drops requests past their deadline, as the message about their end may have been lost.
     pub(in crate::fleet) fn drop_expired_submissions(&mut self, now: Time) {
         if now < self.served.next_look {
             return;
@@ -160,7 +160,7 @@
         self.forget_served(now, |request, _| is_over(request));
     }
 
-    /// Forgets the requests of a daemon's former incarnations.
+    /// Drops the requests of a daemon's former incarnations.
     pub(in crate::fleet) fn drop_past_incarnations(
         &mut self,
         now: Time,
@@ -183,7 +183,7 @@
     }
 }
 
-/// The request of a submission, as one of this daemon's own, and its pool.
+/// Converts a submission into an arrival at this daemon and its pool.
 fn arrival(now: Time, request: Key, submission: Submission) -> (String, Arrival) {
     let route = Route {
         name: submission.route,
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -1,4 +1,4 @@
-//! The requests of this daemon that another one schedules.
+//! Requests of this daemon that another daemon schedules.
 
 use super::{Assignment, Decision, Progress, Step, Submission, Verdict};
 use crate::fleet::request::{Phase, Request};
@@ -7,18 +7,18 @@
 };
 use crate::prelude::*;
 
-/// Time in which a scheduler answers: some ten times the way to another zone and back. Without an answer
-/// the daemon decides by itself, so that a scheduler that has just ended costs a request no more.
+/// Time limit for a scheduler's verdict: some ten round trips to another zone. After it the daemon
+/// decides on its own, which bounds the delay that a failed scheduler causes.
 const ANSWERED: Duration = Duration::from_millis(60);
 
-/// Schedulers that one request is submitted to at most: two that end within a moment of each other are
-/// rare, and each costs the request the time that it is waited for.
+/// Maximum number of schedulers to which one request is submitted: two rarely fail at the same time,
+/// and each failed one delays the request by the time limit.
 const MAX_SUBMISSIONS: u8 = 2;
 
-/// An attempt that a scheduler assigned.
+/// An attempt assigned by a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::fleet) struct Placement {
-    /// The attempt, as the scheduler counts.
+    /// The scheduler's number of the attempt.
     attempt: u32,
     server: server::Key,
     prefill_tokens: u32,
@@ -26,19 +26,19 @@
     sent_at: Time,
 }
 
-/// How far the scheduling of a request has come.
+/// The scheduling state of a submitted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::fleet) enum Stage {
-    /// The scheduler was told at this time and has not answered.
+    /// The scheduler got the last message at this time and has not replied.
     AwaitingVerdict(Time),
-    /// It waits at the scheduler.
+    /// The request is queued at the scheduler.
     Queued,
-    /// It was sent to the server assigned.
+    /// The request was sent to the assigned server.
     Placed(Placement),
 }
 
 impl Node {
-    /// Submits a request to the scheduler of its pool; false where this daemon is to place it.
+    /// Submits a request to the scheduler of its pool; returns false if this daemon must place it.
     pub(in crate::fleet) fn submit(&mut self, now: Time, key: Key) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
         if request.origin.is_some() || request.submissions >= MAX_SUBMISSIONS {
@@ -65,14 +65,14 @@
         true
     }
 
-    /// Takes over what a scheduler decided.
+    /// Carries out a scheduler's decision.
     pub(in crate::fleet) fn handle_verdict(&mut self, now: Time, verdict: Verdict) {
         let Verdict { daemon, request: key, decision: ruling } = verdict;
         let waits_for_it = |request: &&mut Request| {
             matches!(request.phase, Phase::Submitted(_)) && request.scheduler == daemon
         };
         let Some(request) = self.requests.get_mut(&key).filter(waits_for_it) else {
-            // It was placed without the scheduler, or its caller has gone; the place is free again.
+            // The request was placed without the scheduler or its caller has left: free the slot there.
             if matches!(ruling, Decision::Send(_) | Decision::Queued) {
                 self.tell_scheduler(&daemon, key, 0, Step::Withdrawn);
             }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Sends a request where its scheduler wants it, unless this daemon knows better.
+    /// Sends a request to the assigned server, unless this daemon has newer information against it.
     fn assigned(&mut self, now: Time, key: Key, assignment: Assignment) {
         let Some(server) = self.lives.server(&assignment.server) else {
             return self.withdraw_from_scheduler(now, key);
@@ -138,8 +138,8 @@
         self.effects.push(Effect::Command(key, Command::Dispatch(dispatch)));
     }
 
-    /// Whether a request may go to a server by what this daemon knows: the scheduler may not have heard
-    /// yet that the server leaves, that weights were named, or that the request may have run.
+    /// Returns whether this daemon's own state allows an assignment: the scheduler may not know yet about
+    /// a leaving server, newly named weights, or a possible execution of the request.
     fn may_be_sent(&self, now: Time, key: Key, server: server::Key, weights: Option<u64>) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
         let stays = self.servers.get(server).is_some_and(|server| !server.entry.leaving);
@@ -150,7 +150,7 @@
         stays && begins && (request.possible_runs == 0 || request.may_repeat())
     }
 
-    /// Takes over what became of an attempt that a scheduler assigned, and tells it.
+    /// Records the state change of an attempt assigned by a scheduler and forwards it to the scheduler.
     pub(in crate::fleet) fn report_placed(
         &mut self,
         now: Time,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Waits for the scheduler's next word on a request that did not run.
+    /// Waits for the next verdict on a request that did not run.
     fn did_not_run(&mut self, now: Time, key: Key, arrived: bool) {
         if let Some(request) = self.requests.get_mut(&key) {
             request.possible_runs -= 1;
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Waits for the scheduler's next word on a request that may have run, where it may run again.
+    /// Waits for the next verdict on a request that may have run, or ends it if it must not run again.
     fn may_have_run(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() {
@@ -235,7 +235,7 @@
         self.forget(now, key);
     }
 
-    /// Decides by itself on requests whose scheduler has left them without a word or is gone.
+    /// Takes back requests whose scheduler did not reply in time or is gone.
     pub(in crate::fleet) fn check_schedulers(&mut self, now: Time) {
         let unanswered = self.asked.iter().filter_map(|key| {
             let request = self.requests.get(key)?;
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Tells a request's scheduler to care for it no more, and decides by itself.
+    /// Withdraws a request from its scheduler and continues without it.
     pub(in crate::fleet) fn withdraw_from_scheduler(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let scheduler = request.scheduler.clone();
@@ -273,7 +273,7 @@
         self.continue_without_scheduler(now, key);
     }
 
-    /// Goes on with a request without its scheduler: another one places it, or this daemon.
+    /// Has a request placed by another scheduler or by this daemon.
     fn continue_without_scheduler(&mut self, now: Time, key: Key) {
         self.asked.remove(&key);
         let Some(request) = self.requests.get_mut(&key) else { return };
@@ -287,7 +287,7 @@
             return;
         };
         request.phase = Phase::Sent { server, prefill_tokens, begun, sent_at };
-        // The scheduler counted it.
+        // The scheduler has charged the quota for it.
         request.charged_runs = request.possible_runs;
         if let Some(server) = self.servers.get_mut(server) {
             server.running += 1;
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Tells the scheduler of a request that ends here.
+    /// Notifies the scheduler that a request has ended here.
     pub(in crate::fleet) fn withdraw(&mut self, key: Key) {
         self.asked.remove(&key);
         let Some(request) = self.requests.get(&key) else { return };
@@ -316,7 +316,7 @@
 }
 
 impl Placement {
-    /// Whether its answer has begun.
+    /// Returns whether its answer has begun.
     pub(in crate::fleet) fn has_begun(self) -> bool {
         self.begun
     }
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -1,4 +1,4 @@
-//! The form of schedulers' frames on the wire.
+//! Wire format of the messages between daemons and schedulers.
 
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
     attempts: u32,
     #[prost(string, tag = "10")]
     pool: String,
-    /// The workspace, where it shares no cached prompt with others.
+    /// The workspace, if it shares no cached prompts with others.
     #[prost(string, optional, tag = "11")]
     isolated: Option<String>,
     #[prost(uint32, tag = "12")]
@@ -53,7 +53,7 @@
     rate: u64,
     #[prost(uint64, tag = "2")]
     burst: u64,
-    /// Tokens of a request that tells of none, where tokens are counted.
+    /// Tokens charged for a request that states none, if the quota counts tokens.
     #[prost(uint32, optional, tag = "3")]
     plain: Option<u32>,
 }
@@ -66,7 +66,7 @@
     input: u32,
     #[prost(uint32, tag = "3")]
     output: u32,
-    /// Parts, beside their tokens.
+    /// Ids of the parts, parallel to `tokens`.
     #[prost(fixed64, repeated, tag = "4")]
     parts: Vec<u64>,
     #[prost(uint32, repeated, tag = "5")]
@@ -85,7 +85,7 @@
     step: u32,
     #[prost(uint64, optional, tag = "5")]
     weights: Option<u64>,
-    /// Of a lost answer: whether something came that is none.
+    /// For a lost answer: whether the server sent something that is not a valid answer.
     #[prost(bool, tag = "6")]
     unusable: bool,
 }
