--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other about requests that are passed on, and its form on the wire.
+//! Frames that daemons exchange about forwarded requests, with their encoding and decoding.
 
 mod wire;
 
@@ -10,99 +10,99 @@
 use crate::prelude::*;
 use crate::quota::Use;
 
-/// A frame that is not well-formed.
+/// Error of a frame that is not well-formed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
-/// Work that one daemon has at one server.
+/// The work of one daemon at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Workload {
     /// Requests in flight.
     pub running: u32,
-    /// Prompt tokens of those whose answers have not begun.
+    /// Prompt tokens of the requests whose answers have not begun.
     pub pending_tokens: u32,
-    /// Whether it was ordered to load weights and has not finished.
+    /// Whether the server was ordered to load weights and has not finished.
     pub loading_weights: bool,
-    /// Milliseconds since its last answer to this daemon.
+    /// Milliseconds since the server's last answer to this daemon.
     pub last_answer_age_ms: Option<u32>,
-    /// Milliseconds for which the oldest request waits whose answer has not begun.
+    /// Age in milliseconds of the oldest request whose answer has not begun.
     pub unanswered_ms: Option<u32>,
 }
 
-/// What a daemon tells its peers several times a second.
+/// A daemon's state, sent to its peers several times a second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Digest {
     /// The daemon's id.
     pub daemon: String,
-    /// Where it listens for peers.
+    /// The address on which it listens for peers.
     pub address: String,
-    /// Cores that its VM gives it; 0 where it does not say.
+    /// The cores of its VM; 0 if unknown.
     pub cores: f32,
     /// Time until its next digest to the same peer.
     pub interval: Duration,
-    /// How old what it has read of each topic in the platform's store is, in the order of
-    /// [`Topic::ALL`]; `None` where it has read nothing.
+    /// Age of its last read of each topic in the platform's store, in the order of [`Topic::ALL`];
+    /// `None` if it has read nothing.
     pub read_ages: Vec<Option<Duration>>,
     /// Its incarnation.
     pub incarnation: u64,
     /// Whether it is stopping.
     pub draining: bool,
-    /// The offsets before which it misses no record, in the order of [`Topic::ALL`].
+    /// The offsets up to which it has all records, in the order of [`Topic::ALL`].
     pub end_offsets: Vec<u64>,
     /// Its work by server.
     pub workloads: BTreeMap<Life, Workload>,
-    /// Weights that servers were seen to have: server, model, version.
+    /// Weights observed at servers: server, model, version.
     pub weights: Vec<(Life, String, u64)>,
-    /// The parts of prompts that most of its work is for, with milliseconds of work a second; none
-    /// in most digests.
+    /// The prompt parts that cause most of its work, with milliseconds of work per second; empty in
+    /// most digests.
     pub hot_parts: Vec<(u64, f32)>,
-    /// Fingerprints of the requests that it refused lately.
+    /// Fingerprints of recently refused requests.
     pub refused: Vec<Fingerprint>,
-    /// Bytes that it has had moved over the KV store's link since its start.
+    /// Bytes that it has caused on the KV store's link since its start.
     pub link_bytes_moved: u64,
-    /// Requests that are blocked and that the platform's store is not known to keep yet.
+    /// Blocked requests that the platform's store is not known to hold yet.
     pub blocked: Vec<Blocked>,
-    /// When it was made, by its daemon's clock.
+    /// Creation time on its daemon's clock.
     pub sent_at: Time,
-    /// Weights that were named lately, in ascending order of versions for each model.
+    /// Recently named weights, with ascending versions for each model.
     pub named: Vec<Naming>,
-    /// How long ago its daemon last knew that it had missed nothing that operators published.
+    /// Time since the daemon last had everything that operators published.
     pub caught_up_age: Option<Duration>,
-    /// The daemon that it takes for the keeper of quotas, and so lends its share; empty where it knows of none.
+    /// The daemon that it regards as the quota keeper and lends its share to; empty if it knows none.
     pub quota_keeper: String,
-    /// What it used of workspaces' quotas lately.
+    /// Its recent use of workspaces' quotas.
     pub quota_use: Vec<Use>,
 }
 
-/// What daemons send each other.
+/// A message between daemons.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// How a daemon is.
+    /// The periodic state message of a daemon.
     Digest(Box<Digest>),
-    /// Wants the records of a topic from an offset: who asks, the topic, the offset.
+    /// Request for the records of a topic: the requesting daemon, the topic, the first offset.
     Fetch(String, Topic, u64),
-    /// Records of a topic, asked for or new.
+    /// Records of a topic, either requested or new.
     Records(Batch),
-    /// Everything that is left of a topic, asked for: keys that are not in it are gone.
+    /// All remaining records of a topic, on request; keys not in it no longer exist.
     Snapshot(Batch),
-    /// What a daemon has at one server now.
+    /// A daemon's current work at one server.
     Notice(Notice),
-    /// What an engine or the KV store keeps.
+    /// The parts held by an engine or the KV store.
     Residency(Told),
-    /// Wants to be told everything that is kept there: who asks, and of what.
+    /// Request for all parts held somewhere: the requesting daemon and the holder.
     FetchResidency(String, Keeper),
-    /// Wants a server for a request.
+    /// A request submitted for placement.
     Submission(Box<Submission>),
-    /// What became of a request that was submitted.
+    /// A state change of a submitted request.
     Progress(Progress),
-    /// What was decided for a request that was submitted.
+    /// The decision on a submitted request.
     Verdict(Box<Verdict>),
-    /// On requests that end servers.
+    /// A message about requests that crash servers.
     Poison(poison::Message),
 }
 
 impl Frame {
-    /// The frame's bytes.
+    /// Encodes the frame.
     ///
     /// ```
     /// use cardamomvalve::fleet::{Frame, Topic};
@@ -142,7 +142,7 @@
         wire::Frame { body: Some(body) }.encode_to_vec()
     }
 
-    /// Reads a frame.
+    /// Decodes a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let frame = wire::Frame::decode(bytes).map_err(|error| Malformed(error.to_string()))?;
         match frame.body {
--- a/src/fleet/frame/wire.rs
+++ b/src/fleet/frame/wire.rs
@@ -1,4 +1,4 @@
-//! The form of frames on the wire.
+//! Wire format of frames.
 
 use crate::fleet::scheduling::{WireProgress, WireSubmission, WireVerdict};
 use crate::poison::WireMessage as WirePoison;
@@ -49,7 +49,7 @@
     pub(super) weights: Vec<Weights>,
     #[prost(string, tag = "7")]
     pub(super) address: String,
-    /// Parts, beside their work.
+    /// Ids of parts, parallel to `hot_work_ms`.
     #[prost(fixed64, repeated, tag = "8")]
     pub(super) hot_parts: Vec<u64>,
     #[prost(float, repeated, tag = "9")]
@@ -62,7 +62,7 @@
     pub(super) cores: f32,
     #[prost(uint32, tag = "13")]
     pub(super) interval_ms: u32,
-    /// Milliseconds and one more; 0 where nothing was read.
+    /// Milliseconds plus one; 0 if nothing was read.
     #[prost(uint32, repeated, tag = "14")]
     pub(super) read_ages_ms: Vec<u32>,
     #[prost(fixed64, repeated, tag = "15")]
@@ -71,14 +71,14 @@
     pub(super) named: Vec<Naming>,
     #[prost(uint64, tag = "17")]
     pub(super) sent_at_ms: u64,
-    /// Milliseconds and one more; 0 where that is not known.
+    /// Milliseconds plus one; 0 if unknown.
     #[prost(uint32, tag = "18")]
     pub(super) caught_up_age_ms: u32,
     #[prost(uint32, repeated, tag = "19")]
     pub(super) blocked_ages_ms: Vec<u32>,
     #[prost(string, tag = "20")]
     pub(super) quota_keeper: String,
-    /// Workspaces, beside the units that were used of their quotas.
+    /// Workspaces, parallel to `quota_units`, the units used of their quotas.
     #[prost(string, repeated, tag = "21")]
     pub(super) quota_workspaces: Vec<String>,
     #[prost(uint64, repeated, tag = "22")]
@@ -91,7 +91,7 @@
     pub(super) model: String,
     #[prost(uint64, tag = "2")]
     pub(super) version: u64,
-    /// Milliseconds and one more; 0 where that is not known.
+    /// Milliseconds plus one; 0 if unknown.
     #[prost(uint32, tag = "3")]
     pub(super) age_ms: u32,
 }
@@ -126,7 +126,7 @@
     pub(super) from: u64,
     #[prost(uint64, tag = "4")]
     pub(super) to: u64,
-    /// Whether these are all that is left of the topic.
+    /// Whether these are all remaining records of the topic.
     #[prost(bool, tag = "5")]
     pub(super) is_snapshot: bool,
 }
@@ -141,7 +141,7 @@
     pub(super) parts: Vec<u64>,
 }
 
-/// An engine, or the KV store, which has an address instead of an id.
+/// An engine, or the KV store, which is identified by its address.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Keeper {
     #[prost(string, tag = "1")]
@@ -162,7 +162,7 @@
     pub(super) number: u64,
     #[prost(bool, tag = "4")]
     pub(super) is_snapshot: bool,
-    /// Parts, beside the tokens that are kept of them.
+    /// Ids of parts, parallel to `tokens`, the number of tokens held of each.
     #[prost(fixed64, repeated, tag = "5")]
     pub(super) parts: Vec<u64>,
     #[prost(uint32, repeated, tag = "6")]
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a [`Node`](super::Node).
+//! Inputs and outputs of a [`Node`](super::Node).
 
 use std::net::SocketAddr;
 
@@ -7,181 +7,181 @@
 use crate::prelude::*;
 use crate::route::{Route, Table, Workspace};
 
-/// A request at one daemon.
+/// Identifies a request at one daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key(pub u64);
 
-/// A request that wants a server.
+/// A request to be placed on a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
     /// The request.
     pub request: Key,
-    /// Its id, as the caller gave it.
+    /// The request id given by the caller.
     pub id: String,
     /// Its route.
     pub route: Arc<Route>,
-    /// Its workspace, where it has one.
+    /// Its workspace, if any.
     pub workspace: Option<Arc<Workspace>>,
-    /// When it is no longer wanted.
+    /// Its deadline.
     pub deadline: Time,
-    /// Its prompt, where it goes to an engine.
+    /// Its prompt, if it goes to an engine.
     pub prompt: Option<Prompt>,
-    /// What it asks for and for whom: the same where its caller asks again.
+    /// The hash of its content and caller; equal when the caller repeats the request.
     pub fingerprint: Fingerprint,
 }
 
-/// Why a server did not run a request, by its own word.
+/// The reason a server gave for not running a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has no room, or is leaving or loading.
+    /// The server has no capacity, or is leaving or loading.
     Busy,
-    /// Another server has its address.
+    /// Another server now has the address.
     Replaced,
-    /// Its weights have this version.
+    /// The server's weights have this version.
     WrongWeights(Option<u64>),
 }
 
-/// How an answer was lost.
+/// The way in which an answer was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
-    /// Its connection ended or failed.
+    /// The connection ended or failed.
     Connection,
-    /// What came is no answer to it.
+    /// The response is not a valid answer to the request.
     InvalidAnswer,
 }
 
-/// What became of one attempt.
+/// A state change of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Report {
-    /// The answer has begun, under this version of the weights.
+    /// The answer has begun, from this version of the weights.
     Begun(Option<u64>),
-    /// The answer ended well.
+    /// The answer is complete.
     Ended,
-    /// The server refused and did not run it.
+    /// The server refused the request and did not run it.
     Refused(Refusal),
-    /// No byte of the request left: it provably did not run.
+    /// No byte of the request was sent, so it did not run.
     Unsent,
-    /// It was sent, and no whole answer came.
+    /// The request was sent, but no complete answer arrived.
     Lost(Loss),
-    /// The server answered with a failure of its own.
+    /// The server answered with a failure.
     Failed,
 }
 
-/// What traffic is told about a request.
+/// An instruction to the traffic handler about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Send it.
+    /// Send the request.
     Dispatch(Dispatch),
-    /// Answer it: it has not run. It may come back after the time given.
+    /// Refuse the request, which has not run, with this code and retry-after time.
     Refuse(Code, Duration),
-    /// End it with what is known of its last attempt.
+    /// End the request with the outcome of its last attempt.
     GiveUp,
 }
 
-/// Where and how to send a request.
+/// The destination and parameters of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// Counts the request's attempts from 1.
+    /// The number of the request's attempt, from 1.
     pub attempt: u32,
     /// The server's id.
     pub server: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// What cached prompts are kept under, for an engine.
+    /// The salt of cached prompts, for an engine.
     pub cache_salt: Option<String>,
-    /// The version that the engine's weights must have.
+    /// The required version of the engine's weights.
     pub weights_version: Option<u64>,
-    /// Where the engine first fetches cached parts that it lacks.
+    /// The source from which the engine first fetches cached parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
-    /// Where the engine sends the parts that it reads.
+    /// The destination to which the engine saves the parts that it computes.
     pub save_to: Option<SocketAddr>,
-    /// Its rank at the engine; 0 is the most urgent.
+    /// Its priority at the engine; 0 is the most urgent.
     pub priority: u8,
-    /// Idle connections to the server that this daemon may keep.
+    /// Maximum number of idle connections that this daemon keeps to the server.
     pub max_idle: usize,
 }
 
-/// What a record of the platform's store means.
+/// A decoded record of the platform's store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A configuration.
+    /// A new configuration.
     Table {
-        /// What can be read of it.
+        /// The entries that could be read.
         table: Arc<Table>,
-        /// Why entries of it are left out.
+        /// The reasons why entries were omitted.
         left_out: Vec<String>,
     },
-    /// Weights that a model is to have.
+    /// The weights version that a model should have.
     Weights {
         /// The model.
         model: String,
         /// The version.
         version: u64,
     },
-    /// A server registered, or changed its registration.
+    /// A server registered or changed its registration.
     Server(Entry),
-    /// A server's registration is gone.
+    /// A server's registration was removed.
     ServerGone(String),
     /// Another daemon.
     Router {
         /// Its id.
         id: String,
-        /// Where it listens for peers.
+        /// The address on which it listens for peers.
         address: SocketAddr,
-        /// Cores that its VM gives it; 0 where it does not say.
+        /// The cores of its VM; 0 if unknown.
         cores: f32,
     },
-    /// A request that ends servers, and is refused, as far as the record tells for how long.
+    /// A request that crashes servers and is blocked, with the age of the block if the record has it.
     Blocked(Blocked),
-    /// A request that is no longer refused.
+    /// A request that is no longer blocked.
     Unblocked(Fingerprint),
-    /// Nothing that concerns this program.
+    /// A record that this program ignores.
     Nothing,
 }
 
 /// A successful read of a topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Read {
-    /// What was read.
+    /// The records.
     pub batch: Batch,
-    /// Whether these are the newest records of all keys, so that a key without one has none.
+    /// Whether these are the newest records of all keys; a key without a record does not exist.
     pub is_snapshot: bool,
-    /// A time until which the store had nothing beyond what it gave: when it was asked, or when it had waited in
-    /// vain.
+    /// A time up to which the store had no further records: the time of the request, or the end of a
+    /// wait without results.
     pub current_at: Time,
 }
 
-/// How an order to an engine ended.
+/// The outcome of an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// The engine carries it out.
+    /// The engine carries out the order.
     Accepted,
-    /// It held already.
+    /// The engine was already in the ordered state.
     Held,
-    /// Another order is in progress, or the engine has taken another number of orders.
+    /// Another order is in progress, or the engine's sequence number differs.
     Conflict,
-    /// A higher fence was used there.
+    /// The engine has seen a higher fence.
     Fenced,
-    /// The engine refused it for another reason.
+    /// The engine refused the order for another reason.
     Refused,
-    /// Nothing is known of it.
+    /// The outcome is unknown.
     Unknown,
 }
 
-/// What an engine reports of itself.
+/// An engine's report of its own state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct State {
-    /// Versions of its weights by model.
+    /// The versions of its weights, by model.
     pub weights: BTreeMap<String, u64>,
-    /// Whether it carries an order out.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// How many orders it has taken.
+    /// The number of orders it has accepted.
     pub sequence: u64,
-    /// When it started, in Unix milliseconds; 0 where it does not say.
+    /// Its start time in Unix milliseconds; 0 if unknown.
     pub born: u64,
 }
 
-/// A dependency that is lost and regained.
+/// An external dependency whose availability is tracked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Dependency {
     /// Reads of this topic.
@@ -191,7 +191,7 @@
 }
 
 impl Dependency {
-    /// All of them.
+    /// All dependencies.
     pub const ALL: [Self; 4] = [
         Self::Topic(Topic::Operator),
         Self::Topic(Topic::Servers),
@@ -199,7 +199,7 @@
         Self::Lease,
     ];
 
-    /// Its place in [`Dependency::ALL`].
+    /// Its index in [`Dependency::ALL`].
     pub const fn index(self) -> usize {
         match self {
             Self::Topic(topic) => topic as usize,
@@ -218,10 +218,10 @@
     }
 }
 
-/// What a node is told.
+/// An input to a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// A request came.
+    /// A request arrived.
     Arrive(Box<Arrival>),
     /// An attempt's state changed.
     Report {
@@ -229,41 +229,41 @@
         request: Key,
         /// The attempt's number.
         attempt: u32,
-        /// What happened.
+        /// The state change.
         report: Report,
     },
-    /// The caller has gone, or the request was ended by its time limit.
+    /// The caller disconnected, or the request reached its time limit.
     Cancel(Key),
     /// A topic was read.
     Read(Read),
-    /// What is tracked could not be read, and why.
+    /// A dependency could not be read, with the reason.
     ReadFailed(Dependency, String),
-    /// Records of the lease were read: the oldest offset that is left, and each with its own.
+    /// Records of the lease were read: the oldest retained offset, and the records with their offsets.
     Lease(u64, Vec<(u64, String)>),
     /// An order to an engine ended.
     OrderEnded(server::Key, OrderEnd),
-    /// An engine reported, or could not be asked.
+    /// An engine reported its state, or could not be reached.
     Polled(server::Key, Option<State>),
-    /// Events of what keeps parts were read, or could not be.
+    /// Events of a holder of cached parts were read, or could not be read.
     Events(Place, Option<EventsRead>),
-    /// A look was taken at the port of a server that may have ended.
+    /// The port of a server that may have crashed was probed.
     Probed(Victim, Answer),
-    /// A frame came from a peer.
+    /// A frame arrived from a peer.
     Frame(Frame),
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
-    /// The time of a planned stop is nearly over.
+    /// The time limit of a planned stop is about to expire.
     StopDeadline,
     /// Time has passed.
     Tick,
 }
 
-/// What a node wants done.
+/// An action requested by a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Tell traffic about a request.
+    /// Send a command about a request to the traffic handler.
     Command(Key, Command),
-    /// Make this the table that traffic uses.
+    /// Install this route table.
     Table(Arc<Table>),
     /// Append this record to the lease.
     AppendLease(String),
@@ -273,31 +273,31 @@
         server: server::Key,
         /// Its id.
         id: String,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
         /// The model.
         model: String,
         /// The version.
         version: u64,
-        /// The fencing number.
+        /// The fencing token.
         fence: u64,
-        /// How many orders the engine is expected to have taken.
+        /// The number of orders that the engine is expected to have accepted.
         expected_sequence: u64,
     },
-    /// Read the events of what keeps parts, waiting for some.
+    /// Read the events of a holder of cached parts, waiting until there are some.
     ReadEvents {
-        /// Whose events.
+        /// The holder.
         place: Place,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
-        /// The number of the first event wanted.
+        /// The number of the first event to read.
         since: u64,
     },
-    /// Look whether somebody listens where a server did that may have ended.
+    /// Probe whether anything still listens at the address of a server that may have crashed.
     Probe(Victim, SocketAddr),
-    /// Have the platform's store keep that a request has been blocked for so long, or no longer is.
+    /// Write to the platform's store for how long a request has been blocked, or that it no longer is.
     WriteBlock(Fingerprint, Option<Duration>),
-    /// Give up idle connections to this address: who listened there has ended.
+    /// Close idle connections to this address because the server there has ended.
     Disconnect(SocketAddr),
     /// Ask an engine for its state.
     Poll(server::Key, String, SocketAddr),
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -1,17 +1,17 @@
-//! Requests are taken back from servers that have fallen silent, or whose weights are too old.
+//! Takes requests back from servers that are silent or whose weights are too old.
 
 use super::request::Phase;
 use super::scheduling::Stage;
 use super::{Command, Key, Node};
 use crate::prelude::*;
 
-/// Silence of a server, to all daemons, after which requests that wait for it are sent elsewhere:
-/// longer than the largest prompts take, and than peers need to tell of an answer.
+/// Silence of a server towards all daemons after which its unanswered requests are sent elsewhere.
+/// Longer than the largest prompts take and than peers need to report an answer.
 const SILENT_AFTER: Duration = Duration::from_millis(700);
 
 impl Node {
-    /// Notes for each server since when requests wait for its answer, and moves those away that may
-    /// be repeated from servers that have fallen silent.
+    /// Updates the time since which each server has unanswered requests, recalls requests from outdated
+    /// weights, and moves repeatable requests away from silent servers.
     pub(super) fn check_unanswered(&mut self, now: Time) {
         self.take_over_late(now);
         for server in self.servers.values_mut() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes requests over from schedulers that ought to have taken them back from old weights, and may have ended.
+    /// Takes over requests that their scheduler, which may have ended, failed to recall from old weights.
     fn take_over_late(&mut self, now: Time) {
         let late = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes a request back that must not begin on the weights that it was sent to.
+    /// Takes back a request that must not begin on the weights to which it was sent.
     pub(super) fn recall(&mut self, now: Time, key: Key) {
         self.move_request(now, key);
         let Some(request) = self.requests.get(&key) else { return };
@@ -73,7 +73,7 @@
         self.forget(now, key);
     }
 
-    /// Sends a request elsewhere whose server has fallen silent, where its route allows it.
+    /// Sends a request to another server, if its route and the retry budget allow it.
     pub(super) fn move_request(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, sent_at, .. } = request.phase else { return };
@@ -87,7 +87,7 @@
         }
         self.counts.moved += 1;
         self.log_taken_back(Event::RequestMoved, now, key);
-        // It may be what silenced the server; whether that has ended its registration will tell.
+        // The request may have crashed the server; the server's registration will show whether it ended.
         self.connection_lost(now, key, server, now.saturating_sub(sent_at));
         self.release(key);
         self.dispatch(now, key, choice);
--- a/src/fleet/request.rs
+++ b/src/fleet/request.rs
@@ -1,18 +1,18 @@
-//! One request: where it stands, and what was tried.
+//! The state of one request and its attempts.
 
 use super::scheduling::{Origin, Stage};
 use super::{Arrival, server};
 use crate::prelude::*;
 use crate::route::Repeat;
 
-/// Where a request stands.
+/// The phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It waits for a server since this time.
+    /// The request has waited for a server since this time.
     Waiting(Time),
-    /// A scheduler looks for a server for it.
+    /// A scheduler places the request.
     Submitted(Stage),
-    /// It was sent.
+    /// The request was sent to a server.
     Sent { server: server::Key, prefill_tokens: u32, begun: bool, sent_at: Time },
 }
 
@@ -22,35 +22,35 @@
     pub(super) arrival: Arrival,
     pub(super) pool: String,
     pub(super) phase: Phase,
-    /// Sends so far.
+    /// Number of sends so far.
     pub(super) sends: u32,
-    /// Servers that may have run it.
+    /// Number of sends that a server may have run.
     pub(super) possible_runs: u32,
-    /// Runs that this daemon has counted against its workspace's quota.
+    /// Runs that this daemon has charged to the workspace's quota.
     pub(super) charged_runs: u32,
-    /// Until when it waits for a daemon that may let it in, where this one could not know.
+    /// Time until which it waits for a daemon that can admit it, if this daemon could not decide.
     pub(super) admission_deadline: Option<Time>,
-    /// The weights that it was last sent to.
+    /// The weights version to which it was last sent.
     pub(super) weights_version: Option<u64>,
-    /// Milliseconds to its first token that were predicted, without the queue of the KV store's link,
-    /// where it fetches from there.
+    /// Predicted TTFT in milliseconds, without queueing on the KV store's link, if it fetches from
+    /// there.
     pub(super) fetch_cost_ms: Option<f64>,
-    /// Servers that it was sent to.
+    /// Servers to which it was sent.
     pub(super) tried: Vec<server::Key>,
-    /// Whether its next send draws on the retry budget.
+    /// Whether its next send is charged to the retry budget.
     pub(super) draws_on_retry_budget: bool,
-    /// Whether its caller was refused lately and has come back.
+    /// Whether its caller retries a recently refused request.
     pub(super) refused_before: bool,
-    /// Whose it is, where another daemon submitted it.
+    /// The daemon that submitted it, unless it is this daemon's own.
     pub(super) origin: Option<Origin>,
-    /// The daemon that it was submitted to; none where this one decides.
+    /// The daemon to which it was submitted; empty if this daemon decides.
     pub(super) scheduler: String,
-    /// Schedulers that it was submitted to so far.
+    /// Number of schedulers to which it was submitted so far.
     pub(super) submissions: u8,
 }
 
 impl Request {
-    /// A request that has just come.
+    /// Creates a request that has just arrived.
     pub(super) fn new(now: Time, arrival: Arrival, pool: String, origin: Option<Origin>) -> Self {
         Self {
             arrival,
@@ -71,24 +71,24 @@
         }
     }
 
-    /// Whether it may be sent once more although a server may have run it.
+    /// Returns whether it may be resent although a server may have run it.
     pub(super) fn may_repeat(&self) -> bool {
         let route = &self.arrival.route;
         route.repeat != Repeat::AtMostOnce && self.possible_runs < route.attempts
     }
 
-    /// Whether it waits for a scheduler's word or at a scheduler.
+    /// Returns whether it is queued at a scheduler or waits for its verdict.
     pub(super) fn is_awaiting_scheduler(&self) -> bool {
         matches!(self.phase, Phase::Submitted(Stage::AwaitingVerdict(_) | Stage::Queued))
     }
 
-    /// Whether it was sent and its answer has not begun.
+    /// Returns whether it was sent and its answer has not begun.
     pub(super) fn is_unanswered(&self) -> bool {
         let sent = matches!(self.phase, Phase::Sent { .. } | Phase::Submitted(Stage::Placed(_)));
         sent && !self.has_begun()
     }
 
-    /// Whether its answer has begun.
+    /// Returns whether its answer has begun.
     pub(super) fn has_begun(&self) -> bool {
         match self.phase {
             Phase::Sent { begun, .. } => begun,
