--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -149,7 +149,7 @@
             None => Err(Malformed("the frame is empty".into())),
             Some(wire::Body::Digest(digest)) => Ok(Self::Digest(Box::new(digest.try_into()?))),
             Some(wire::Body::Fetch(ask)) => {
-                Ok(Self::Fetch(ask.daemon, topic(ask.topic)?, ask.from))
+                Ok(Self::Fetch(ask.daemon, decode_topic(ask.topic)?, ask.from))
             }
             Some(wire::Body::Records(records)) if records.is_snapshot => {
                 Ok(Self::Snapshot(records.try_into()?))
@@ -163,7 +163,7 @@
             }
             Some(wire::Body::Residency(held)) => Ok(Self::Residency(held.try_into()?)),
             Some(wire::Body::FetchResidency(ask)) => {
-                Ok(Self::FetchResidency(ask.daemon, named(ask.keeper)?))
+                Ok(Self::FetchResidency(ask.daemon, decode_keeper(ask.keeper)?))
             }
             Some(wire::Body::Submission(submission)) => {
                 Ok(Self::Submission(Box::new(submission.try_into()?)))
@@ -175,7 +175,7 @@
     }
 }
 
-fn topic(number: u32) -> Result<Topic, Malformed> {
+fn decode_topic(number: u32) -> Result<Topic, Malformed> {
     Topic::from_number(number).ok_or_else(|| Malformed(format!("no topic {number}")))
 }
 
@@ -183,11 +183,11 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn age_number(age: Option<Duration>) -> u32 {
+fn encode_age(age: Option<Duration>) -> u32 {
     age.map_or(0, |age| millis(age).saturating_add(1))
 }
 
-fn age(number: u32) -> Option<Duration> {
+fn decode_age(number: u32) -> Option<Duration> {
     Some(Duration::from_millis(u64::from(number.checked_sub(1)?)))
 }
 
@@ -204,7 +204,7 @@
     }
 }
 
-fn named(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
+fn decode_keeper(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
     let keeper = keeper.ok_or_else(|| Malformed("the frame names no keeper".into()))?;
     if !keeper.server.is_empty() {
         return Ok(Keeper::Engine(Life::new(keeper.server, keeper.born)));
@@ -237,7 +237,7 @@
         }
         Ok(Self {
             daemon: held.daemon,
-            keeper: named(held.keeper)?,
+            keeper: decode_keeper(held.keeper)?,
             number: held.number,
             whole: held.is_snapshot,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
@@ -262,7 +262,7 @@
 
     fn try_from(records: wire::Records) -> Result<Self, Malformed> {
         Ok(Self {
-            topic: topic(records.topic)?,
+            topic: decode_topic(records.topic)?,
             from: records.from,
             to: records.to,
             records: records.records.into_iter().map(Record::from).collect(),
@@ -273,14 +273,14 @@
 impl From<Naming> for wire::Naming {
     fn from(naming: Naming) -> Self {
         let Naming { model, version, age } = naming;
-        Self { model, version, age_ms: age_number(age) }
+        Self { model, version, age_ms: encode_age(age) }
     }
 }
 
 impl From<wire::Naming> for Naming {
     fn from(naming: wire::Naming) -> Self {
         let wire::Naming { model, version, age_ms } = naming;
-        Self { model, version, age: age(age_ms) }
+        Self { model, version, age: decode_age(age_ms) }
     }
 }
 
@@ -347,7 +347,7 @@
             address: digest.address,
             cores: digest.cores,
             interval_ms: millis(digest.interval),
-            read_ages_ms: digest.read_ages.into_iter().map(age_number).collect(),
+            read_ages_ms: digest.read_ages.into_iter().map(encode_age).collect(),
             incarnation: digest.incarnation,
             draining: digest.draining,
             end_offsets: digest.end_offsets,
@@ -361,7 +361,7 @@
             blocked_ages_ms,
             sent_at_ms: u64::try_from(digest.sent_at.as_millis()).unwrap_or(u64::MAX),
             named: digest.named.into_iter().map(wire::Naming::from).collect(),
-            caught_up_age_ms: age_number(digest.caught_up_age),
+            caught_up_age_ms: encode_age(digest.caught_up_age),
             quota_keeper: digest.quota_keeper,
             quota_workspaces: digest.quota_use.iter().map(|used| used.workspace.clone()).collect(),
             quota_units: digest.quota_use.iter().map(|used| used.units).collect(),
@@ -393,7 +393,7 @@
             address: digest.address,
             cores: digest.cores,
             interval: Duration::from_millis(u64::from(digest.interval_ms)),
-            read_ages: digest.read_ages_ms.into_iter().map(age).collect(),
+            read_ages: digest.read_ages_ms.into_iter().map(decode_age).collect(),
             incarnation: digest.incarnation,
             draining: digest.draining,
             end_offsets: digest.end_offsets,
@@ -411,7 +411,7 @@
             blocked: poison::to_blocked(digest.blocked, digest.blocked_ages_ms),
             sent_at: Duration::from_millis(digest.sent_at_ms),
             named: digest.named.into_iter().map(Naming::from).collect(),
-            caught_up_age: age(digest.caught_up_age_ms),
+            caught_up_age: decode_age(digest.caught_up_age_ms),
             quota_keeper: digest.quota_keeper,
             quota_use: digest
                 .quota_workspaces
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -7,25 +7,25 @@
 
 /// Silence of a server towards all daemons after which its unanswered requests are sent elsewhere.
 /// Longer than the largest prompts take and than peers need to report an answer.
-const SILENT_AFTER: Duration = Duration::from_millis(700);
+const SILENCE_LIMIT: Duration = Duration::from_millis(700);
 
 impl Node {
     /// Updates the time since which each server has unanswered requests, recalls requests from outdated
     /// weights, and moves repeatable requests away from silent servers.
     pub(super) fn check_unanswered(&mut self, now: Time) {
-        self.take_over_late(now);
+        self.take_over_unrecalled(now);
         for server in self.servers.values_mut() {
             server.unanswered_since = None;
         }
-        let (mut late, mut recalled) = (Vec::new(), Vec::new());
+        let (mut overdue, mut recalled) = (Vec::new(), Vec::new());
         for (key, request) in &self.requests {
             let Phase::Sent { server, begun: false, sent_at, .. } = request.phase else { continue };
             if let Some(state) = self.servers.get_mut(server) {
                 state.unanswered_since =
                     Some(state.unanswered_since.map_or(sent_at, |since| since.min(sent_at)));
             }
-            if now >= sent_at + SILENT_AFTER {
-                late.push((*key, server));
+            if now >= sent_at + SILENCE_LIMIT {
+                overdue.push((*key, server));
             }
             if let (Some(prompt), Some(version)) =
                 (&request.arrival.prompt, request.weights_version)
@@ -37,24 +37,24 @@
         for key in recalled {
             self.recall(now, key);
         }
-        for (key, server) in late {
+        for (key, server) in overdue {
             let silent =
                 self.servers.get(server).map(|state| self.load(server, state).silence(now));
-            if silent.is_some_and(|silent| silent >= SILENT_AFTER) {
+            if silent.is_some_and(|silent| silent >= SILENCE_LIMIT) {
                 self.move_request(now, key);
             }
         }
     }
 
     /// Takes over requests that their scheduler, which may have ended, failed to recall from old weights.
-    fn take_over_late(&mut self, now: Time) {
-        let late = self.requests.iter().filter(|(_, request)| {
+    fn take_over_unrecalled(&mut self, now: Time) {
+        let overdue = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
             let weights = request.arrival.prompt.as_ref().zip(request.weights_version);
             placed && weights.is_some_and(|(prompt, v)| self.is_left_too_late(now, &prompt.model, v))
         });
-        let late: Vec<Key> = late.map(|(key, _)| *key).collect();
-        for key in late {
+        let overdue: Vec<Key> = overdue.map(|(key, _)| *key).collect();
+        for key in overdue {
             self.withdraw_from_scheduler(now, key);
         }
     }
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -10,25 +10,25 @@
 use crate::prelude::*;
 
 /// Number of schedulers: one places the requests of a pool, the others have enough state to take over.
-const SCHEDULERS: usize = 3;
+const SCHEDULER_COUNT: usize = 3;
 /// Interval between updates of the ranking.
-const LOOK: Duration = Duration::from_millis(100);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// Silence after which a highly ranked daemon counts as gone: a scheduler sends digests to all daemons
 /// at least twice a second.
-const SILENT_AFTER: Duration = Duration::from_millis(1_500);
+const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
 /// Number of top-ranked daemons that may act as schedulers right after their start, before they have
 /// heard from any peer. Without the limit, each of many daemons would send digests to all others.
-const STARTERS: usize = 12;
+const MAX_STARTUP_SCHEDULERS: usize = 12;
 /// Number of top-ranked daemons that read the platform's store while schedulers read it, too. Each read
 /// has a cost, and this many suffice to spread the records whichever of them are cut off.
-const READERS: usize = 12;
+const STORE_READER_COUNT: usize = 12;
 /// Time after its start from which a daemon relies only on the peers that it has heard from.
-const STARTED: Duration = Duration::from_secs(3);
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 /// Time after a daemon's start within which it hears from the schedulers. Until then it does not read
 /// the store again; otherwise each of many starting daemons would read every other's registration.
-const SETTLED: Duration = Duration::from_millis(1_000);
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(1_000);
 /// Time for which a scheduler that did not reply to a submission receives no further ones.
-const AVOIDED: Duration = Duration::from_millis(1_000);
+const AVOIDANCE_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// The sort key of a daemon in the choice of schedulers: larger VMs first, then by a hash.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,7 +43,7 @@
     }
 
     /// Compares two ranks; the preferred daemon is the lesser.
-    fn order(&self, other: &Self) -> Ordering {
+    fn compare(&self, other: &Self) -> Ordering {
         other.cores.total_cmp(&self.cores).then(other.hash.cmp(&self.hash))
     }
 }
@@ -53,41 +53,41 @@
 pub(in crate::fleet) struct Ranking {
     /// The schedulers by rank, highest first; may include this daemon.
     schedulers: Vec<String>,
-    next_look: Time,
-    started: Option<Time>,
+    next_update: Time,
+    started_at: Option<Time>,
     /// Number of daemons that rank above this one, whether heard from or not.
-    before: usize,
+    higher_ranked: usize,
 }
 
 impl Node {
     /// Updates the schedulers if the interval has passed.
     pub(in crate::fleet) fn update_ranking(&mut self, now: Time) {
-        if now < self.ranking.next_look {
+        if now < self.ranking.next_update {
             return;
         }
-        self.ranking.next_look = now + LOOK;
-        self.ranking.started.get_or_insert(now);
+        self.ranking.next_update = now + UPDATE_INTERVAL;
+        self.ranking.started_at.get_or_insert(now);
         let own = Rank::new(&self.identity.id, self.identity.cores);
         let mut ranked: Vec<(Rank, Option<&str>)> = self
             .peers
             .iter()
             .filter_map(|(id, peer)| Some((peer.standing?, Some(id.as_str()))))
             .collect();
-        self.ranking.before =
-            ranked.iter().filter(|(standing, _)| standing.order(&own).is_lt()).count();
+        self.ranking.higher_ranked =
+            ranked.iter().filter(|(rank, _)| rank.compare(&own).is_lt()).count();
         let silent = |id: &str| {
-            self.peers.get(id).is_none_or(|peer| peer.has_fallen_silent(now, SILENT_AFTER))
+            self.peers.get(id).is_none_or(|peer| peer.has_fallen_silent(now, SILENCE_LIMIT))
         };
         ranked.retain(|(_, id)| id.is_none_or(|id| !silent(id)));
         if !self.draining {
             ranked.push((own, None));
         }
-        ranked.sort_by(|(a, _), (b, _)| a.order(b));
-        let first = ranked.into_iter().take(SCHEDULERS);
+        ranked.sort_by(|(a, _), (b, _)| a.compare(b));
+        let first = ranked.into_iter().take(SCHEDULER_COUNT);
         let schedulers: Vec<String> =
             first.map(|(_, id)| id.unwrap_or(&self.identity.id).to_owned()).collect();
         for (id, peer) in &mut self.peers {
-            peer.watch(now, schedulers.contains(id), SILENT_AFTER);
+            peer.watch(now, schedulers.contains(id), SILENCE_LIMIT);
         }
         let newcomers = schedulers.iter().filter(|id| !self.ranking.schedulers.contains(id));
         let newcomers = newcomers.filter_map(|id| self.peer_address(id)).collect();
@@ -98,8 +98,9 @@
     /// Returns whether this daemon is a scheduler and announces it to all daemons.
     pub(in crate::fleet) fn is_scheduler(&self, now: Time) -> bool {
         let ranking = &self.ranking;
-        let started = ranking.started.is_some_and(|at| now >= at + STARTED);
-        (started || ranking.before < STARTERS) && ranking.schedulers.contains(&self.identity.id)
+        let started = ranking.started_at.is_some_and(|at| now >= at + STARTUP_PERIOD);
+        (started || ranking.higher_ranked < MAX_STARTUP_SCHEDULERS)
+            && ranking.schedulers.contains(&self.identity.id)
     }
 
     /// The schedulers other than this daemon.
@@ -118,24 +119,24 @@
     pub(in crate::fleet) fn rank_among_daemons(&self) -> u32 {
         let ranking = &self.ranking;
         let own = ranking.schedulers.iter().position(|id| *id == self.identity.id);
-        let rank = own.unwrap_or_else(|| ranking.before.max(ranking.schedulers.len()));
+        let rank = own.unwrap_or_else(|| ranking.higher_ranked.max(ranking.schedulers.len()));
         u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
     /// Returns whether this daemon reads the platform's store for the others.
     pub(in crate::fleet) fn is_store_reader(&self) -> bool {
-        self.ranking.before < READERS
+        self.ranking.higher_ranked < STORE_READER_COUNT
     }
 
     /// Returns whether this daemon started a moment ago: it has read everything once and does not know
     /// the readers yet.
     pub(in crate::fleet) fn has_just_started(&self, now: Time) -> bool {
-        self.ranking.started.is_none_or(|at| now < at + SETTLED)
+        self.ranking.started_at.is_none_or(|at| now < at + DISCOVERY_PERIOD)
     }
 
     /// Returns whether some daemons leave reading to others.
     pub(in crate::fleet) fn has_non_readers(&self) -> bool {
-        self.peers.len() >= READERS
+        self.peers.len() >= STORE_READER_COUNT
     }
 
     /// The scheduler of `name`, which is a pool or a holder of cached parts; `None` if it is this daemon
@@ -158,7 +159,7 @@
     /// Suspends submissions to a scheduler that did not reply to one.
     pub(in crate::fleet) fn avoid_scheduler(&mut self, now: Time, scheduler: &str) {
         if let Some(peer) = self.peers.get_mut(scheduler) {
-            peer.avoid_until(now + AVOIDED);
+            peer.avoid_until(now + AVOIDANCE_PERIOD);
         }
     }
 }
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -10,11 +10,11 @@
 use crate::route::{Route, Split, Workspace};
 
 /// Bit set in the keys of other daemons' requests, to keep them apart from this daemon's own keys.
-const SERVED: u64 = 1 << 63;
+const REMOTE_KEY_BIT: u64 = 1 << 63;
 /// Time after a request's deadline at which it counts as ended even if its daemon did not report it.
-const OVER: Duration = Duration::from_secs(1);
+const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
 /// Interval between checks for requests whose end was not reported.
-const LOOK: Duration = Duration::from_secs(1);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The daemon that submitted a request, with its key there.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,8 +30,8 @@
 #[derive(Debug, Default)]
 pub(in crate::fleet) struct Submissions {
     keys: BTreeMap<String, BTreeMap<Key, Key>>,
-    next: u64,
-    next_look: Time,
+    last_number: u64,
+    next_expiry_check: Time,
 }
 
 impl Submissions {
@@ -40,8 +40,8 @@
     }
 
     fn add(&mut self, daemon: &str, request: Key) -> Key {
-        self.next += 1;
-        let key = Key(SERVED | self.next);
+        self.last_number += 1;
+        let key = Key(REMOTE_KEY_BIT | self.last_number);
         self.keys.entry(daemon.to_owned()).or_default().insert(request, key);
         key
     }
@@ -70,7 +70,7 @@
         let (daemon, request, incarnation) = (daemon.clone(), *request, *incarnation);
         let origin = Origin { daemon, request, address, incarnation };
         if self.draining || !self.is_ready() {
-            return self.rule(&origin, Decision::Return);
+            return self.send_verdict(&origin, Decision::Return);
         }
         if let Some(known) = self.served.key(&origin.daemon, origin.request) {
             // The daemon has restarted and reuses its request keys.
@@ -86,7 +86,7 @@
     pub(in crate::fleet) fn send_queued(&mut self, key: Key) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         if let Some(origin) = origin {
-            self.rule(&origin, Decision::Queued);
+            self.send_verdict(&origin, Decision::Queued);
         }
     }
 
@@ -106,8 +106,10 @@
             return self.effects.push(Effect::Command(key, command));
         };
         match command {
-            Command::Refuse(code, after) => self.rule(&origin, Decision::Refuse(code, after)),
-            Command::GiveUp => self.rule(&origin, Decision::GiveUp),
+            Command::Refuse(code, after) => {
+                self.send_verdict(&origin, Decision::Refuse(code, after))
+            }
+            Command::GiveUp => self.send_verdict(&origin, Decision::GiveUp),
             // `assign` sends these, with the details that the daemon needs to continue on its own.
             Command::Dispatch(_) => {}
         }
@@ -129,35 +131,35 @@
             fetch_from: dispatch.fetch_from,
             save_to: dispatch.save_to,
         };
-        self.rule(&origin, Decision::Send(assignment));
+        self.send_verdict(&origin, Decision::Send(assignment));
     }
 
-    fn rule(&mut self, origin: &Origin, ruling: Decision) {
+    fn send_verdict(&mut self, origin: &Origin, decision: Decision) {
         let daemon = self.identity.id.clone();
-        let verdict = Verdict { daemon, request: origin.request, decision: ruling };
+        let verdict = Verdict { daemon, request: origin.request, decision };
         self.effects.push(Effect::Send(vec![origin.address], Frame::Verdict(Box::new(verdict))));
     }
 
     /// Returns the queued requests of other daemons because this daemon is stopping.
     pub(in crate::fleet) fn return_queued_requests(&mut self, now: Time) {
-        let waits = |request: &Request| matches!(request.phase, Phase::Waiting(_));
-        let waiting = self.requests.iter().filter(|(_, request)| waits(request));
+        let is_waiting = |request: &Request| matches!(request.phase, Phase::Waiting(_));
+        let waiting = self.requests.iter().filter(|(_, request)| is_waiting(request));
         let waiting = waiting.filter_map(|(key, request)| Some((*key, request.origin.clone()?)));
         let waiting: Vec<(Key, Origin)> = waiting.collect();
         for (key, origin) in waiting {
-            self.rule(&origin, Decision::Return);
+            self.send_verdict(&origin, Decision::Return);
             self.forget(now, key);
         }
     }
 
     /// Drops requests past their deadline, as the message about their end may have been lost.
     pub(in crate::fleet) fn drop_expired_submissions(&mut self, now: Time) {
-        if now < self.served.next_look {
+        if now < self.served.next_expiry_check {
             return;
         }
-        self.served.next_look = now + LOOK;
-        let is_over = |request: &Request| now >= request.arrival.deadline + OVER;
-        self.forget_served(now, |request, _| is_over(request));
+        self.served.next_expiry_check = now + EXPIRY_CHECK_INTERVAL;
+        let is_expired = |request: &Request| now >= request.arrival.deadline + DEADLINE_MARGIN;
+        self.drop_submissions(now, |request, _| is_expired(request));
     }
 
     /// Drops the requests of a daemon's former incarnations.
@@ -167,17 +169,17 @@
         daemon: &str,
         incarnation: u64,
     ) {
-        self.forget_served(now, |_, origin| {
+        self.drop_submissions(now, |_, origin| {
             origin.daemon == daemon && origin.incarnation != incarnation
         });
     }
 
-    fn forget_served(&mut self, now: Time, ended: impl Fn(&Request, &Origin) -> bool) {
-        let over = self.requests.iter().filter(|(_, request)| {
-            request.origin.as_ref().is_some_and(|origin| ended(request, origin))
+    fn drop_submissions(&mut self, now: Time, should_drop: impl Fn(&Request, &Origin) -> bool) {
+        let dropped = self.requests.iter().filter(|(_, request)| {
+            request.origin.as_ref().is_some_and(|origin| should_drop(request, origin))
         });
-        let over: Vec<Key> = over.map(|(key, _)| *key).collect();
-        for key in over {
+        let dropped: Vec<Key> = dropped.map(|(key, _)| *key).collect();
+        for key in dropped {
             self.forget(now, key);
         }
     }
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -9,7 +9,7 @@
 
 /// Time limit for a scheduler's verdict: some ten round trips to another zone. After it the daemon
 /// decides on its own, which bounds the delay that a failed scheduler causes.
-const ANSWERED: Duration = Duration::from_millis(60);
+const VERDICT_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Maximum number of schedulers to which one request is submitted: two rarely fail at the same time,
 /// and each failed one delays the request by the time limit.
@@ -67,25 +67,25 @@
 
     /// Carries out a scheduler's decision.
     pub(in crate::fleet) fn handle_verdict(&mut self, now: Time, verdict: Verdict) {
-        let Verdict { daemon, request: key, decision: ruling } = verdict;
-        let waits_for_it = |request: &&mut Request| {
+        let Verdict { daemon, request: key, decision } = verdict;
+        let is_submitted_to_sender = |request: &&mut Request| {
             matches!(request.phase, Phase::Submitted(_)) && request.scheduler == daemon
         };
-        let Some(request) = self.requests.get_mut(&key).filter(waits_for_it) else {
+        let Some(request) = self.requests.get_mut(&key).filter(is_submitted_to_sender) else {
             // The request was placed without the scheduler or its caller has left: free the slot there.
-            if matches!(ruling, Decision::Send(_) | Decision::Queued) {
-                self.tell_scheduler(&daemon, key, 0, Step::Withdrawn);
+            if matches!(decision, Decision::Send(_) | Decision::Queued) {
+                self.send_progress(&daemon, key, 0, Step::Withdrawn);
             }
             return;
         };
         self.asked.remove(&key);
-        match ruling {
+        match decision {
             Decision::Queued => {
                 if matches!(request.phase, Phase::Submitted(Stage::AwaitingVerdict(_))) {
                     request.phase = Phase::Submitted(Stage::Queued);
                 }
             }
-            Decision::Send(assignment) => self.assigned(now, key, assignment),
+            Decision::Send(assignment) => self.dispatch_assignment(now, key, assignment),
             Decision::Refuse(code, after) if request.possible_runs == 0 => {
                 self.effects.push(Effect::Command(key, Command::Refuse(code, after)));
                 self.requests.remove(&key);
@@ -102,7 +102,7 @@
     }
 
     /// Sends a request to the assigned server, unless this daemon has newer information against it.
-    fn assigned(&mut self, now: Time, key: Key, assignment: Assignment) {
+    fn dispatch_assignment(&mut self, now: Time, key: Key, assignment: Assignment) {
         let Some(server) = self.lives.server(&assignment.server) else {
             return self.withdraw_from_scheduler(now, key);
         };
@@ -143,11 +143,11 @@
     fn may_be_sent(&self, now: Time, key: Key, server: server::Key, weights: Option<u64>) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
         let stays = self.servers.get(server).is_some_and(|server| !server.entry.leaving);
-        let begins = match (&request.arrival.prompt, weights) {
+        let weights_allowed = match (&request.arrival.prompt, weights) {
             (Some(prompt), Some(version)) => self.may_begin(now, &prompt.model, version),
             _ => true,
         };
-        stays && begins && (request.possible_runs == 0 || request.may_repeat())
+        stays && weights_allowed && (request.possible_runs == 0 || request.may_repeat())
     }
 
     /// Records the state change of an attempt assigned by a scheduler and forwards it to the scheduler.
@@ -162,14 +162,14 @@
         let Placement { attempt, server, .. } = placed;
         let scheduler = request.scheduler.clone();
         let model = request.arrival.prompt.as_ref().map(|prompt| prompt.model.clone());
-        self.tell_scheduler(&scheduler, key, attempt, Step::Report(report));
+        self.send_progress(&scheduler, key, attempt, Step::Report(report));
         match report {
             Report::Begun(weights) => {
                 if let (Some(model), Some(version)) = (&model, weights) {
                     self.saw_weights(now, server, model, version);
                 }
                 self.heard(now, server);
-                self.placed_began(now, key, placed);
+                self.mark_begun(now, key, placed);
             }
             Report::Ended => {
                 self.heard(now, server);
@@ -181,27 +181,27 @@
                 self.counts.declined += 1;
                 self.heard(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
-                self.did_not_run(now, key, refused != Refusal::Replaced);
+                self.handle_not_run(now, key, refused != Refusal::Replaced);
             }
             Report::Unsent => {
                 self.log_failed(key, server, "it could not be connected to");
                 self.counts.unsent += 1;
-                self.did_not_run(now, key, false);
+                self.handle_not_run(now, key, false);
             }
             Report::Lost(loss) => {
                 self.log_failed(key, server, loss.reason());
                 self.counts.lost += 1;
-                self.may_have_run(now, key);
+                self.handle_possible_run(now, key);
             }
             Report::Failed => {
                 self.log_failed(key, server, "it answered with a failure of its own");
                 self.counts.failed += 1;
-                self.may_have_run(now, key);
+                self.handle_possible_run(now, key);
             }
         }
     }
 
-    fn placed_began(&mut self, now: Time, key: Key, placed: Placement) {
+    fn mark_begun(&mut self, now: Time, key: Key, placed: Placement) {
         if placed.begun {
             return;
         }
@@ -213,7 +213,7 @@
     }
 
     /// Waits for the next verdict on a request that did not run.
-    fn did_not_run(&mut self, now: Time, key: Key, arrived: bool) {
+    fn handle_not_run(&mut self, now: Time, key: Key, arrived: bool) {
         if let Some(request) = self.requests.get_mut(&key) {
             request.possible_runs -= 1;
             request.draws_on_retry_budget |= arrived;
@@ -223,7 +223,7 @@
     }
 
     /// Waits for the next verdict on a request that may have run, or ends it if it must not run again.
-    fn may_have_run(&mut self, now: Time, key: Key) {
+    fn handle_possible_run(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() {
             request.draws_on_retry_budget = true;
@@ -240,7 +240,7 @@
         let unanswered = self.asked.iter().filter_map(|key| {
             let request = self.requests.get(key)?;
             let Phase::Submitted(Stage::AwaitingVerdict(at)) = request.phase else { return None };
-            (now >= at + ANSWERED).then(|| request.scheduler.clone())
+            (now >= at + VERDICT_TIMEOUT).then(|| request.scheduler.clone())
         });
         let unanswered: BTreeSet<String> = unanswered.collect();
         for scheduler in &unanswered {
@@ -251,15 +251,15 @@
         let gone = |id: &str| {
             !self.peers.get(id).is_some_and(|peer| peer.is_fresh(now) && !peer.is_draining())
         };
-        let left = self.requests.iter().filter(|(_, request)| match request.phase {
+        let orphaned = self.requests.iter().filter(|(_, request)| match request.phase {
             Phase::Submitted(Stage::AwaitingVerdict(_) | Stage::Queued) => {
                 unanswered.contains(&request.scheduler) || gone(&request.scheduler)
             }
             Phase::Submitted(Stage::Placed(_)) => gone(&request.scheduler),
             Phase::Waiting(_) | Phase::Sent { .. } => false,
         });
-        let left: Vec<Key> = left.map(|(key, _)| *key).collect();
-        for key in left {
+        let orphaned: Vec<Key> = orphaned.map(|(key, _)| *key).collect();
+        for key in orphaned {
             self.withdraw_from_scheduler(now, key);
         }
     }
@@ -268,7 +268,7 @@
     pub(in crate::fleet) fn withdraw_from_scheduler(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let scheduler = request.scheduler.clone();
-        self.tell_scheduler(&scheduler, key, 0, Step::Withdrawn);
+        self.send_progress(&scheduler, key, 0, Step::Withdrawn);
         self.counts.unscheduled += 1;
         self.continue_without_scheduler(now, key);
     }
@@ -303,11 +303,11 @@
         let Some(request) = self.requests.get(&key) else { return };
         if matches!(request.phase, Phase::Submitted(_)) {
             let scheduler = request.scheduler.clone();
-            self.tell_scheduler(&scheduler, key, 0, Step::Withdrawn);
+            self.send_progress(&scheduler, key, 0, Step::Withdrawn);
         }
     }
 
-    fn tell_scheduler(&mut self, scheduler: &str, request: Key, attempt: u32, step: Step) {
+    fn send_progress(&mut self, scheduler: &str, request: Key, attempt: u32, step: Step) {
         let Some(address) = self.peer_address(scheduler) else { return };
         let daemon = self.identity.id.clone();
         let progress = Progress { daemon, request, attempt, step };
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -35,7 +35,7 @@
     #[prost(string, optional, tag = "11")]
     isolated: Option<String>,
     #[prost(uint32, tag = "12")]
-    left_ms: u32,
+    time_left_ms: u32,
     #[prost(message, optional, tag = "13")]
     prompt: Option<WirePrompt>,
     #[prost(fixed64, tag = "14")]
@@ -87,7 +87,7 @@
     weights: Option<u64>,
     /// For a lost answer: whether the server sent something that is not a valid answer.
     #[prost(bool, tag = "6")]
-    unusable: bool,
+    invalid_answer: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -119,20 +119,20 @@
     #[prost(uint64, tag = "2")]
     request: u64,
     #[prost(uint32, tag = "3")]
-    ruling: u32,
+    decision: u32,
     #[prost(message, optional, tag = "4")]
     assignment: Option<WireAssignment>,
     #[prost(uint32, tag = "5")]
     code: u32,
     #[prost(uint32, tag = "6")]
-    after_ms: u32,
+    retry_after_ms: u32,
 }
 
 fn ms(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn span(ms: u32) -> Duration {
+fn duration(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
 }
 
@@ -144,7 +144,7 @@
     text.parse().map_err(|_| Malformed(format!("no address: {text:?}")))
 }
 
-fn maybe_address(text: Option<String>) -> Result<Option<SocketAddr>, Malformed> {
+fn optional_address(text: Option<String>) -> Result<Option<SocketAddr>, Malformed> {
     text.map(|text| address(&text)).transpose()
 }
 
@@ -172,7 +172,7 @@
             attempts: submission.max_attempts,
             pool: submission.pool,
             isolated,
-            left_ms: ms(submission.time_left),
+            time_left_ms: ms(submission.time_left),
             prompt: submission.prompt.map(WirePrompt::from),
             fingerprint: submission.fingerprint.0,
             workspace,
@@ -205,12 +205,12 @@
             id: wire.id,
             route: wire.route,
             repeat,
-            target: span(wire.target_ms),
+            target: duration(wire.target_ms),
             priority: u8::try_from(wire.rank).map_err(|_| unknown("rank", wire.rank))?,
             max_attempts: wire.attempts,
             pool: wire.pool,
             workspace,
-            time_left: span(wire.left_ms),
+            time_left: duration(wire.time_left_ms),
             prompt: wire.prompt.map(Prompt::try_from).transpose()?,
             fingerprint: Fingerprint(wire.fingerprint),
         })
@@ -276,9 +276,9 @@
             Step::Report(Report::Lost(_)) => (7, None),
             Step::Report(Report::Failed) => (8, None),
         };
-        let unusable = progress.step == Step::Report(Report::Lost(Loss::InvalidAnswer));
+        let invalid_answer = progress.step == Step::Report(Report::Lost(Loss::InvalidAnswer));
         let super::Progress { daemon, request, attempt, .. } = progress;
-        Self { daemon, request: request.0, attempt, step, weights, unusable }
+        Self { daemon, request: request.0, attempt, step, weights, invalid_answer }
     }
 }
 
@@ -294,7 +294,7 @@
             4 => Step::Report(Report::Refused(Refusal::Replaced)),
             5 => Step::Report(Report::Refused(Refusal::WrongWeights(wire.weights))),
             6 => Step::Report(Report::Unsent),
-            7 if wire.unusable => Step::Report(Report::Lost(Loss::InvalidAnswer)),
+            7 if wire.invalid_answer => Step::Report(Report::Lost(Loss::InvalidAnswer)),
             7 => Step::Report(Report::Lost(Loss::Connection)),
             8 => Step::Report(Report::Failed),
             other => return Err(unknown("step", other)),
@@ -331,8 +331,8 @@
             prefill_tokens: wire.tokens,
             cache_salt: wire.salt,
             weights_version: wire.weights,
-            fetch_from: maybe_address(wire.fetch_from)?,
-            save_to: maybe_address(wire.save_to)?,
+            fetch_from: optional_address(wire.fetch_from)?,
+            save_to: optional_address(wire.save_to)?,
         })
     }
 }
@@ -341,16 +341,16 @@
     fn from(verdict: super::Verdict) -> Self {
         let wire = Self { daemon: verdict.daemon, request: verdict.request.0, ..Self::default() };
         match verdict.decision {
-            Decision::Queued => Self { ruling: 0, ..wire },
+            Decision::Queued => Self { decision: 0, ..wire },
             Decision::Send(assignment) => {
-                Self { ruling: 1, assignment: Some(assignment.into()), ..wire }
+                Self { decision: 1, assignment: Some(assignment.into()), ..wire }
             }
             Decision::Refuse(code, after) => {
                 let code = u32::from(code.row().number);
-                Self { ruling: 2, code, after_ms: ms(after), ..wire }
+                Self { decision: 2, code, retry_after_ms: ms(after), ..wire }
             }
-            Decision::GiveUp => Self { ruling: 3, ..wire },
-            Decision::Return => Self { ruling: 4, ..wire },
+            Decision::GiveUp => Self { decision: 3, ..wire },
+            Decision::Return => Self { decision: 4, ..wire },
         }
     }
 }
@@ -359,7 +359,7 @@
     type Error = Malformed;
 
     fn try_from(wire: Verdict) -> Result<Self, Malformed> {
-        let ruling = match wire.ruling {
+        let decision = match wire.decision {
             0 => Decision::Queued,
             1 => {
                 let assignment = wire.assignment;
@@ -371,12 +371,12 @@
                 let named = |code: &&Code| u32::from(code.row().number) == wire.code;
                 let code = Code::ALL.iter().find(named);
                 let code = code.ok_or_else(|| unknown("code", wire.code))?;
-                Decision::Refuse(*code, span(wire.after_ms))
+                Decision::Refuse(*code, duration(wire.retry_after_ms))
             }
             3 => Decision::GiveUp,
             4 => Decision::Return,
             other => return Err(unknown("ruling", other)),
         };
-        Ok(Self { daemon: wire.daemon, request: Key(wire.request), decision: ruling })
+        Ok(Self { daemon: wire.daemon, request: Key(wire.request), decision })
     }
 }
