--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn decode_nameless_digest_refused() {
-    let nameless = Frame::Digest(Box::new(Digest { daemon: String::new(), ..digest() }));
-    assert!(Frame::decode(&nameless.encode()).is_err());
+fn decode_digest_without_id_refused() {
+    let without_id = Frame::Digest(Box::new(Digest { daemon: String::new(), ..digest() }));
+    assert!(Frame::decode(&without_id.encode()).is_err());
     assert!(Frame::decode(&[]).is_err());
 }
 
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -10,32 +10,32 @@
     [("s-1", "plain 101 ready"), ("s-2", "plain 102 ready"), ("s-3", "plain 103 ready")];
 
 #[test]
-fn crowd_at_many_daemons_is_placed_as_if_at_one() {
+fn submit_burst_at_many_daemons_balanced() {
     // Six places, and a request at each of twelve daemons within a millisecond: nothing told before.
     let mut site = Site::new(12, &SERVERS);
     let keys: Vec<Key> =
         (0..12).map(|index| site.arrive(index, "plain", Repeat::AtMostOnce)).collect();
-    let mut at: BTreeMap<String, usize> = BTreeMap::new();
-    let mut waits = Vec::new();
+    let mut sent: BTreeMap<String, usize> = BTreeMap::new();
+    let mut waiting = Vec::new();
     for (index, key) in keys.iter().enumerate() {
         match site.commands(index, *key).as_slice() {
-            [Command::Dispatch(dispatch)] => *at.entry(dispatch.server.clone()).or_default() += 1,
-            [] => waits.push((index, *key)),
+            [Command::Dispatch(dispatch)] => *sent.entry(dispatch.server.clone()).or_default() += 1,
+            [] => waiting.push((index, *key)),
             other => panic!("{other:?}"),
         }
     }
-    assert_eq!(at.values().copied().collect::<Vec<usize>>(), [2, 2, 2], "{at:?}");
-    assert_eq!(waits.len(), 6);
+    assert_eq!(sent.values().copied().collect::<Vec<usize>>(), [2, 2, 2], "{sent:?}");
+    assert_eq!(waiting.len(), 6);
     // What waits is refused at its daemon, before it is late, with the time to come back.
     site.pass(ms(400));
-    for (index, key) in waits {
+    for (index, key) in waiting {
         let commands = site.commands(index, key);
         assert!(matches!(commands.as_slice(), [Command::Refuse(_, after)] if *after > ms(0)));
     }
 }
 
 #[test]
-fn report_reaches_the_scheduler() {
+fn report_updates_scheduler() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn request_that_waits_once_more_stays_with_its_scheduler() {
+fn queue_again_stays_with_scheduler() {
     let mut site = Site::new(6, &[("s-1", "plain 101 ready")]);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn caller_that_leaves_frees_its_place_at_the_scheduler() {
+fn cancel_frees_slot_at_scheduler() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn scheduler_without_a_word_costs_a_request_little() {
+fn submit_silent_scheduler_placed_locally() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     site.down.insert(scheduler);
@@ -91,12 +91,12 @@
     assert_eq!(site.unscheduled(other), 1);
     // Some seconds later all agree on who places instead.
     site.pass(ms(4_000));
-    let heir = site.scheduler("plain");
-    assert_ne!(heir, scheduler);
+    let successor = site.scheduler("plain");
+    assert_ne!(successor, scheduler);
 }
 
 #[test]
-fn late_verdict_is_not_followed_and_its_place_is_free_again() {
+fn verdict_late_ignored_and_slot_freed() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let route = route("plain", Repeat::AtMostOnce, 1);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn request_that_may_have_run_is_not_sent_twice_whatever_a_scheduler_says() {
+fn verdict_after_possible_run_ignored() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::AtMostOnce);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn request_whose_scheduler_ends_goes_on_where_it_is() {
+fn scheduler_down_request_continues() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
@@ -155,41 +155,41 @@
 }
 
 #[test]
-fn scheduler_that_stops_gives_back_what_waits() {
+fn stop_scheduler_returns_queued() {
     let mut site = Site::new(6, &[("s-1", "plain 101 ready")]);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     for _ in 0..2 {
         site.arrive(scheduler, "plain", Repeat::AtMostOnce);
     }
-    let waits = site.arrive(other, "plain", Repeat::AtMostOnce);
-    assert!(site.commands(other, waits).is_empty());
+    let waiting = site.arrive(other, "plain", Repeat::AtMostOnce);
+    assert!(site.commands(other, waiting).is_empty());
     site.apply(scheduler, Message::Stop);
     // The daemon that has it decides: the digest of the one that stops shows no room.
     site.pass(ms(400));
-    let commands = site.commands(other, waits);
+    let commands = site.commands(other, waiting);
     assert!(matches!(commands.as_slice(), [Command::Refuse(..)]), "{commands:?}");
     let next = site.scheduler("plain");
     assert_ne!(next, scheduler);
 }
 
 #[test]
-fn stop_that_ends_tells_what_waits_at_a_scheduler_that_it_has_not_run() {
+fn stop_deadline_refuses_queued_at_scheduler() {
     let mut site = Site::new(6, &[("s-1", "plain 101 ready")]);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     for _ in 0..2 {
         site.arrive(scheduler, "plain", Repeat::AtMostOnce);
     }
-    let waits = site.arrive(other, "plain", Repeat::AtMostOnce);
+    let waiting = site.arrive(other, "plain", Repeat::AtMostOnce);
     site.apply(other, Message::Stop);
-    assert!(site.commands(other, waits).is_empty());
+    assert!(site.commands(other, waiting).is_empty());
     site.apply(other, Message::StopDeadline);
-    let commands = site.commands(other, waits);
+    let commands = site.commands(other, waiting);
     assert!(matches!(commands.as_slice(), [Command::Refuse(Code::Draining, _)]), "{commands:?}");
     assert_eq!(site.daemons[scheduler].node.open(), 2, "it no longer waits there");
 }
 
 #[test]
-fn daemon_that_starts_again_leaves_nothing_at_the_scheduler() {
+fn restart_clears_submissions_at_scheduler() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     site.arrive(other, "plain", Repeat::Idempotent);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn server_that_is_known_to_leave_is_not_sent_to() {
+fn assignment_to_leaving_server_declined() {
     let mut site = Site::new(6, &SERVERS);
     let other = site.other();
     // Only the daemon has heard that two servers leave.
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn repeats_of_all_daemons_stay_within_the_budget() {
+fn retry_slack_of_all_daemons_within_budget() {
     let site = Site::new(12, &SERVERS);
     let slack = |daemon: &Daemon| daemon.node.terms(site.now).slack;
     let all: f64 = site.daemons.iter().map(slack).sum();
@@ -229,10 +229,10 @@
 }
 
 #[test]
-fn frames_grow_with_daemons_and_not_with_their_square() {
+fn frames_per_daemon_nearly_constant() {
     let sent = |count: u8| {
         let mut site = Site::new(count, &SERVERS);
-        let mut sends = 0;
+        let mut frame_count = 0;
         for step in 1..=100_u64 {
             let now = site.now + ms(step * 20);
             for index in 0..site.daemons.len() {
@@ -241,14 +241,14 @@
                     Effect::Send(to, _) => to.len(),
                     _ => 0,
                 };
-                sends += effects.iter().map(to).sum::<usize>();
+                frame_count += effects.iter().map(to).sum::<usize>();
                 for (to, message) in site.carry(index, effects) {
                     // Replies are left out: nothing is missing here.
                     site.daemons[to].node.apply(now, message);
                 }
             }
         }
-        sends as f64 / f64::from(count) / 2.0
+        frame_count as f64 / f64::from(count) / 2.0
     };
     let (few, many) = (sent(20), sent(80));
     assert!(many < few * 1.5, "{few} frames a second of a daemon at 20, {many} at 80");
