--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -156,8 +156,9 @@
             }
             Some(wire::Body::Records(records)) => Ok(Self::Records(records.try_into()?)),
             Some(wire::Body::Notice(notice)) => {
-                let busy =
-                    notice.workload.ok_or_else(|| Malformed("a notice tells nothing".into()))?;
+                let busy = notice
+                    .workload
+                    .ok_or_else(|| Malformed("the notice lacks a workload".into()))?;
                 let (life, busy) = busy.into();
                 Ok(Self::Notice(Notice { daemon: notice.daemon, life, busy, parts: notice.parts }))
             }
@@ -176,7 +177,7 @@
 }
 
 fn decode_topic(number: u32) -> Result<Topic, Malformed> {
-    Topic::from_number(number).ok_or_else(|| Malformed(format!("no topic {number}")))
+    Topic::from_number(number).ok_or_else(|| Malformed(format!("unknown topic {number}")))
 }
 
 fn millis(time: Duration) -> u32 {
@@ -205,14 +206,14 @@
 }
 
 fn decode_keeper(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
-    let keeper = keeper.ok_or_else(|| Malformed("the frame names no keeper".into()))?;
+    let keeper = keeper.ok_or_else(|| Malformed("the frame lacks a holder of parts".into()))?;
     if !keeper.server.is_empty() {
         return Ok(Keeper::Engine(Life::new(keeper.server, keeper.born)));
     }
     let address = keeper.store_address.parse();
     address
         .map(Keeper::Store)
-        .map_err(|_| Malformed(format!("no address: {:?}", keeper.store_address)))
+        .map_err(|_| Malformed(format!("invalid address: {:?}", keeper.store_address)))
 }
 
 impl From<Told> for wire::Residency {
@@ -233,7 +234,7 @@
 
     fn try_from(held: wire::Residency) -> Result<Self, Malformed> {
         if held.parts.len() != held.tokens.len() {
-            return Err(Malformed("the frame's parts and their tokens do not match".into()));
+            return Err(Malformed("the frame's parts and token counts differ in number".into()));
         }
         Ok(Self {
             daemon: held.daemon,
@@ -374,18 +375,20 @@
 
     fn try_from(digest: wire::Digest) -> Result<Self, Malformed> {
         if digest.daemon.is_empty() {
-            return Err(Malformed("the digest names no daemon".into()));
+            return Err(Malformed("the digest lacks a daemon id".into()));
         }
         if digest.hot_parts.len() != digest.hot_work_ms.len()
             || !digest.hot_work_ms.iter().all(|work_ms| *work_ms >= 0.0 && work_ms.is_finite())
         {
-            return Err(Malformed("the digest's parts and their work do not match".into()));
+            return Err(Malformed("the digest's hot parts or their work are invalid".into()));
         }
         if digest.quota_workspaces.len() != digest.quota_units.len() {
-            return Err(Malformed("the digest's workspaces and their use do not match".into()));
+            return Err(Malformed(
+                "the digest's workspaces and quota units differ in number".into(),
+            ));
         }
         if !digest.cores.is_finite() {
-            return Err(Malformed("the digest's VM has no number of cores".into()));
+            return Err(Malformed("the digest's number of cores is not finite".into()));
         }
         let workloads = digest.workloads.into_iter().map(<(Life, Workload)>::from);
         Ok(Self {
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes over requests that their scheduler, which may have ended, failed to recall from old weights.
+    /// Takes over requests that their scheduler did not recall from old weights; it may have ended.
     fn take_over_unrecalled(&mut self, now: Time) {
         let overdue = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
@@ -87,7 +87,7 @@
         }
         self.counts.moved += 1;
         self.log_taken_back(Event::RequestMoved, now, key);
-        // The request may have crashed the server; the server's registration will show whether it ended.
+        // The request may have crashed the server; whether its registration ends will show that.
         self.connection_lost(now, key, server, now.saturating_sub(sent_at));
         self.release(key);
         self.dispatch(now, key, choice);
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -139,8 +139,8 @@
         self.peers.len() >= STORE_READER_COUNT
     }
 
-    /// The scheduler of `name`, which is a pool or a holder of cached parts; `None` if it is this daemon
-    /// or none was heard from.
+    /// The scheduler of `name`, a pool or a holder of cached parts; `None` if it is this daemon or none
+    /// was heard from.
     pub(in crate::fleet) fn scheduler_of(&self, now: Time, name: &str) -> Option<&str> {
         let score = |id: &str| xxh3_64_with_seed(name.as_bytes(), xxh3_64(id.as_bytes()));
         let usable = self.other_schedulers().filter(|(_, peer)| peer.may_schedule(now));
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -138,7 +138,7 @@
         self.effects.push(Effect::Command(key, Command::Dispatch(dispatch)));
     }
 
-    /// Returns whether this daemon's own state allows an assignment: the scheduler may not know yet about
+    /// Returns whether this daemon's own state allows an assignment. The scheduler may not know yet of
     /// a leaving server, newly named weights, or a possible execution of the request.
     fn may_be_sent(&self, now: Time, key: Key, server: server::Key, weights: Option<u64>) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -137,11 +137,11 @@
 }
 
 fn unknown(what: &str, number: u32) -> Malformed {
-    Malformed(format!("no {what} {number}"))
+    Malformed(format!("unknown {what} {number}"))
 }
 
 fn address(text: &str) -> Result<SocketAddr, Malformed> {
-    text.parse().map_err(|_| Malformed(format!("no address: {text:?}")))
+    text.parse().map_err(|_| Malformed(format!("invalid address: {text:?}")))
 }
 
 fn optional_address(text: Option<String>) -> Result<Option<SocketAddr>, Malformed> {
@@ -196,7 +196,7 @@
         let isolated = wire.isolated.map(|name| owner(name, true));
         let workspace = isolated.or_else(|| wire.workspace.map(|name| owner(name, false)));
         if wire.daemon.is_empty() || wire.pool.is_empty() {
-            return Err(Malformed("the submission names no daemon or no pool".into()));
+            return Err(Malformed("the submission lacks a daemon or a pool".into()));
         }
         Ok(Self {
             daemon: wire.daemon,
@@ -251,7 +251,7 @@
 
     fn try_from(wire: WirePrompt) -> Result<Self, Malformed> {
         if wire.parts.len() != wire.tokens.len() {
-            return Err(Malformed("the prompt's parts and their tokens do not match".into()));
+            return Err(Malformed("the prompt's parts and token counts differ in number".into()));
         }
         let parts = wire.parts.into_iter().zip(wire.tokens);
         Ok(Self {
@@ -363,8 +363,8 @@
             0 => Decision::Queued,
             1 => {
                 let assignment = wire.assignment;
-                let assignment =
-                    assignment.ok_or_else(|| Malformed("nothing is assigned".into()))?;
+                let assignment = assignment
+                    .ok_or_else(|| Malformed("the verdict lacks an assignment".into()))?;
                 Decision::Send(assignment.try_into()?)
             }
             2 => {
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons, from any bytes.
+//! Encoding and decoding of frames, also from arbitrary bytes.
 
 use crate::fleet::*;
 use crate::poison::{self, Fingerprint};
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Requests that one daemon places for the others, and what follows where it is gone or wrong.
+//! Placement of requests by a scheduler for other daemons, and its failures.
 
 use super::site::Site;
 use super::world::*;
@@ -11,7 +11,7 @@
 
 #[test]
 fn submit_burst_at_many_daemons_balanced() {
-    // Six places, and a request at each of twelve daemons within a millisecond: nothing told before.
+    // Each of twelve daemons gets a request within a millisecond, before any state exchange; six slots.
     let mut site = Site::new(12, &SERVERS);
     let keys: Vec<Key> =
         (0..12).map(|index| site.arrive(index, "plain", Repeat::AtMostOnce)).collect();
@@ -26,7 +26,7 @@
     }
     assert_eq!(sent.values().copied().collect::<Vec<usize>>(), [2, 2, 2], "{sent:?}");
     assert_eq!(waiting.len(), 6);
-    // What waits is refused at its daemon, before it is late, with the time to come back.
+    // Waiting requests are refused at their daemons before their deadline, with a retry-after time.
     site.pass(ms(400));
     for (index, key) in waiting {
         let commands = site.commands(index, key);
@@ -41,7 +41,7 @@
     let key = site.arrive(other, "plain", Repeat::Idempotent);
     let first = site.sent(other, key);
     assert_eq!((site.running(scheduler), site.running(other)), (1, 0));
-    // The server refuses; the scheduler finds another.
+    // The server refuses the request and the scheduler assigns another.
     site.report(other, key, first.attempt, Report::Refused(Refusal::Busy));
     let second = site.sent(other, key);
     assert_ne!(first.server, second.server);
@@ -57,10 +57,10 @@
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
     let first = site.sent(other, key);
-    // The only server refuses and is passed over for a moment: the request waits at the scheduler.
+    // The only server refuses and is skipped for a moment, so the request waits at the scheduler.
     site.report(other, key, first.attempt, Report::Refused(Refusal::Busy));
     site.pass(ms(100));
-    assert_eq!(site.unscheduled(other), 0, "the scheduler said that it waits");
+    assert_eq!(site.unscheduled(other), 0, "the scheduler reported the request as queued");
     site.pass(ms(150));
     assert_eq!(site.sent(other, key).attempt, 2);
     assert_eq!((site.running(scheduler), site.running(other)), (1, 0));
@@ -85,11 +85,11 @@
     site.pass(ms(100));
     site.sent(other, first);
     assert_eq!(site.unscheduled(other), 1);
-    // The next one goes to another scheduler at once.
+    // The next request goes to another scheduler immediately.
     let next = site.arrive(other, "plain", Repeat::AtMostOnce);
     site.sent(other, next);
     assert_eq!(site.unscheduled(other), 1);
-    // Some seconds later all agree on who places instead.
+    // After some seconds all daemons agree on the successor.
     site.pass(ms(4_000));
     let successor = site.scheduler("plain");
     assert_ne!(successor, scheduler);
@@ -107,7 +107,7 @@
     for (to, message) in submitted {
         site.apply(to, message);
     }
-    assert!(site.commands(other, key).is_empty(), "it was sent already");
+    assert!(site.commands(other, key).is_empty(), "the request was already sent");
     assert_eq!(site.running(scheduler), 0);
 }
 
@@ -146,7 +146,11 @@
     let sent = site.sent(other, key);
     site.down.insert(scheduler);
     site.pass(ms(3_000));
-    assert_eq!(site.running(other), 1, "it counts for itself now");
+    assert_eq!(
+        site.running(other),
+        1,
+        "the daemon counts the request itself after the scheduler is gone"
+    );
     site.report(other, key, sent.attempt, Report::Lost(Loss::Connection));
     let again = site.sent(other, key);
     assert_eq!(again.attempt, sent.attempt + 1);
@@ -164,7 +168,7 @@
     let waiting = site.arrive(other, "plain", Repeat::AtMostOnce);
     assert!(site.commands(other, waiting).is_empty());
     site.apply(scheduler, Message::Stop);
-    // The daemon that has it decides: the digest of the one that stops shows no room.
+    // The receiving daemon decides: the digest of the stopping daemon shows no free capacity.
     site.pass(ms(400));
     let commands = site.commands(other, waiting);
     assert!(matches!(commands.as_slice(), [Command::Refuse(..)]), "{commands:?}");
@@ -185,7 +189,11 @@
     site.apply(other, Message::StopDeadline);
     let commands = site.commands(other, waiting);
     assert!(matches!(commands.as_slice(), [Command::Refuse(Code::Draining, _)]), "{commands:?}");
-    assert_eq!(site.daemons[scheduler].node.open(), 2, "it no longer waits there");
+    assert_eq!(
+        site.daemons[scheduler].node.open(),
+        2,
+        "the scheduler no longer queues the request"
+    );
 }
 
 #[test]
@@ -208,7 +216,7 @@
 fn assignment_to_leaving_server_declined() {
     let mut site = Site::new(6, &SERVERS);
     let other = site.other();
-    // Only the daemon has heard that two servers leave.
+    // Only this daemon knows that two servers are leaving.
     let leaving = [("s-1", "plain 101 draining"), ("s-2", "plain 102 draining")];
     let at = site.now;
     site.daemons[other].put(at, Topic::Servers, &leaving);
@@ -223,7 +231,7 @@
     let site = Site::new(12, &SERVERS);
     let slack = |daemon: &Daemon| daemon.node.terms(site.now).slack;
     let all: f64 = site.daemons.iter().map(slack).sum();
-    assert!(all <= POLICY.retry_slack, "{all}");
+    assert!(all <= POLICY.retry_slack, "total retry slack is {all}");
     let scheduler = site.scheduler("plain");
     assert!(slack(&site.daemons[scheduler]) >= POLICY.retry_slack / 8.0);
 }
@@ -243,7 +251,7 @@
                 };
                 frame_count += effects.iter().map(to).sum::<usize>();
                 for (to, message) in site.carry(index, effects) {
-                    // Replies are left out: nothing is missing here.
+                    // Replies are ignored because no records are missing.
                     site.daemons[to].node.apply(now, message);
                 }
             }
@@ -251,6 +259,6 @@
         frame_count as f64 / f64::from(count) / 2.0
     };
     let (few, many) = (sent(20), sent(80));
-    assert!(many < few * 1.5, "{few} frames a second of a daemon at 20, {many} at 80");
-    assert!(many < 40.0, "{many}");
+    assert!(many < few * 1.5, "{few} frames per second and daemon with 20 daemons, {many} with 80");
+    assert!(many < 40.0, "{many} frames per second and daemon");
 }
