--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -51,7 +51,7 @@
 
 impl Position {
     pub(super) fn of(key: Key, request: &Request) -> Self {
-        Self { priority: Node::priority(request), is_new: !request.returned, key }
+        Self { priority: Node::priority(request), is_new: !request.refused_before, key }
     }
 }
 
@@ -225,7 +225,7 @@
         after: Duration,
     ) {
         let Some(request) = self.requests.get(&key) else { return };
-        let command = match request.runs {
+        let command = match request.possible_runs {
             0 => Command::Refuse(code, after),
             _ => Command::GiveUp,
         };
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other about requests that are passed on, and its form on the wire.
+//! Frames that daemons exchange about forwarded requests, with their encoding and decoding.
 
 mod wire;
 
@@ -10,99 +10,99 @@
 use crate::prelude::*;
 use crate::quota::Usage;
 
-/// A frame that is not well-formed.
+/// Error of a frame that is not well-formed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
-/// Work that one daemon has at one server.
+/// The work of one daemon at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Workload {
     /// Requests in flight.
     pub running: u32,
-    /// Prompt tokens of those whose answers have not begun.
+    /// Prompt tokens of the requests whose answers have not begun.
     pub pending_tokens: u32,
-    /// Whether it was ordered to load weights and has not finished.
-    pub ordered: bool,
-    /// Milliseconds since its last answer to this daemon.
-    pub heard_ms: Option<u32>,
-    /// Milliseconds for which the oldest request waits whose answer has not begun.
+    /// Whether the server was ordered to load weights and has not finished.
+    pub loading_weights: bool,
+    /// Milliseconds since the server's last answer to this daemon.
+    pub last_answer_age_ms: Option<u32>,
+    /// Age in milliseconds of the oldest request whose answer has not begun.
     pub unanswered_ms: Option<u32>,
 }
 
-/// What a daemon tells its peers several times a second.
+/// A daemon's state, sent to its peers several times a second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Digest {
     /// The daemon's id.
     pub daemon: String,
-    /// Where it listens for peers.
+    /// The address on which it listens for peers.
     pub address: String,
-    /// Cores that its VM gives it; 0 where it does not say.
+    /// The cores of its VM; 0 if unknown.
     pub cores: f32,
     /// Time until its next digest to the same peer.
     pub interval: Duration,
-    /// How old what it has read of each topic in the platform's store is, in the order of
-    /// [`Topic::ALL`]; `None` where it has read nothing.
+    /// Age of its last read of each topic in the platform's store, in the order of [`Topic::ALL`];
+    /// `None` if it has read nothing.
     pub read_ages: Vec<Option<Duration>>,
     /// Its incarnation.
     pub incarnation: u64,
     /// Whether it is stopping.
     pub draining: bool,
-    /// The offsets before which it misses no record, in the order of [`Topic::ALL`].
-    pub ends: Vec<u64>,
+    /// The offsets up to which it has all records, in the order of [`Topic::ALL`].
+    pub end_offsets: Vec<u64>,
     /// Its work by server.
-    pub busy: BTreeMap<Incarnation, Workload>,
-    /// Weights that servers were seen to have: server, model, version.
+    pub workloads: BTreeMap<Incarnation, Workload>,
+    /// Weights observed at servers: server, model, version.
     pub weights: Vec<(Incarnation, String, u64)>,
-    /// The parts of prompts that most of its work is for, with milliseconds of work a second; none
-    /// in most digests.
-    pub heat: Vec<(u64, f32)>,
-    /// Fingerprints of the requests that it refused lately.
+    /// The prompt parts that cause most of its work, with milliseconds of work per second; empty in
+    /// most digests.
+    pub hot_parts: Vec<(u64, f32)>,
+    /// Fingerprints of recently refused requests.
     pub refused: Vec<Fingerprint>,
-    /// Bytes that it has had moved over the KV store's link since its start.
-    pub link_moved: u64,
-    /// Requests that are blocked and that the platform's store is not known to keep yet.
+    /// Bytes that it has caused on the KV store's link since its start.
+    pub link_bytes_moved: u64,
+    /// Blocked requests that the platform's store is not known to hold yet.
     pub blocked: Vec<Blocked>,
-    /// When it was made, by its daemon's clock.
-    pub sent: Time,
-    /// Weights that were named lately, in ascending order of versions for each model.
+    /// Creation time on its daemon's clock.
+    pub sent_at: Time,
+    /// Recently named weights, with ascending versions for each model.
     pub named: Vec<Naming>,
-    /// How long ago its daemon last knew that it had missed nothing that operators published.
-    pub missed_nothing_for: Option<Duration>,
-    /// The daemon that it takes for the keeper of quotas, and so lends its share; empty where it knows of none.
-    pub keeper: String,
-    /// What it used of workspaces' quotas lately.
-    pub used: Vec<Usage>,
+    /// Time since the daemon last had everything that operators published.
+    pub caught_up_age: Option<Duration>,
+    /// The daemon that it regards as the quota keeper and lends its share to; empty if it knows none.
+    pub quota_keeper: String,
+    /// Its recent use of workspaces' quotas.
+    pub quota_use: Vec<Usage>,
 }
 
-/// What daemons send each other.
+/// A message between daemons.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// How a daemon is.
+    /// The periodic state message of a daemon.
     Digest(Box<Digest>),
-    /// Wants the records of a topic from an offset: who asks, the topic, the offset.
-    Ask(String, Topic, u64),
-    /// Records of a topic, asked for or new.
+    /// Request for the records of a topic: the requesting daemon, the topic, the first offset.
+    Fetch(String, Topic, u64),
+    /// Records of a topic, either requested or new.
     Records(Batch),
-    /// Everything that is left of a topic, asked for: keys that are not in it are gone.
+    /// All remaining records of a topic, on request; keys not in it no longer exist.
     Snapshot(Batch),
-    /// What a daemon has at one server now.
+    /// A daemon's current work at one server.
     Notice(Notice),
-    /// What an engine or the KV store keeps.
-    Held(Update),
-    /// Wants to be told everything that is kept there: who asks, and of what.
-    AskHeld(String, Holder),
-    /// Wants a server for a request.
+    /// The parts held by an engine or the KV store.
+    Residency(Update),
+    /// Request for all parts held somewhere: the requesting daemon and the holder.
+    FetchResidency(String, Holder),
+    /// A request submitted for placement.
     Submission(Box<Submission>),
-    /// What became of a request that was submitted.
+    /// A state change of a submitted request.
     Progress(Progress),
-    /// What was decided for a request that was submitted.
+    /// The decision on a submitted request.
     Verdict(Box<Verdict>),
-    /// On requests that end servers.
+    /// A message about requests that crash servers.
     Poison(poison::Message),
 }
 
 impl Frame {
-    /// The frame's bytes.
+    /// Encodes the frame.
     ///
     /// ```
     /// use cardamomvalve::fleet::{Frame, Topic};
@@ -112,20 +112,27 @@
     pub fn encode(&self) -> Vec<u8> {
         let body = match self.clone() {
             Self::Digest(digest) => wire::Body::Digest((*digest).into()),
-            Self::Ask(daemon, topic, from) => {
-                wire::Body::Ask(wire::Ask { daemon, topic: topic as u32, from })
+            Self::Fetch(daemon, topic, from) => {
+                wire::Body::Fetch(wire::Fetch { daemon, topic: topic as u32, from })
             }
             Self::Records(batch) => wire::Body::Records(batch.into()),
             Self::Snapshot(batch) => {
-                wire::Body::Records(wire::Records { whole: true, ..batch.into() })
+                wire::Body::Records(wire::Records { is_snapshot: true, ..batch.into() })
             }
             Self::Notice(notice) => {
                 let Notice { daemon, life, busy, parts } = notice;
-                wire::Body::Notice(wire::Notice { daemon, busy: Some((life, busy).into()), parts })
+                wire::Body::Notice(wire::Notice {
+                    daemon,
+                    workload: Some((life, busy).into()),
+                    parts,
+                })
             }
-            Self::Held(told) => wire::Body::Held(told.into()),
-            Self::AskHeld(daemon, keeper) => {
-                wire::Body::AskHeld(wire::AskHeld { daemon, keeper: Some(keeper.into()) })
+            Self::Residency(told) => wire::Body::Residency(told.into()),
+            Self::FetchResidency(daemon, keeper) => {
+                wire::Body::FetchResidency(wire::FetchResidency {
+                    daemon,
+                    keeper: Some(keeper.into()),
+                })
             }
             Self::Submission(submission) => wire::Body::Submission((*submission).into()),
             Self::Progress(progress) => wire::Body::Progress(progress.into()),
@@ -135,24 +142,30 @@
         wire::Frame { body: Some(body) }.encode_to_vec()
     }
 
-    /// Reads a frame.
+    /// Decodes a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let frame = wire::Frame::decode(bytes).map_err(|error| Malformed(error.to_string()))?;
         match frame.body {
             None => Err(Malformed("the frame is empty".into())),
             Some(wire::Body::Digest(digest)) => Ok(Self::Digest(Box::new(digest.try_into()?))),
-            Some(wire::Body::Ask(ask)) => Ok(Self::Ask(ask.daemon, topic(ask.topic)?, ask.from)),
-            Some(wire::Body::Records(records)) if records.whole => {
+            Some(wire::Body::Fetch(ask)) => {
+                Ok(Self::Fetch(ask.daemon, decode_topic(ask.topic)?, ask.from))
+            }
+            Some(wire::Body::Records(records)) if records.is_snapshot => {
                 Ok(Self::Snapshot(records.try_into()?))
             }
             Some(wire::Body::Records(records)) => Ok(Self::Records(records.try_into()?)),
             Some(wire::Body::Notice(notice)) => {
-                let busy = notice.busy.ok_or_else(|| Malformed("a notice tells nothing".into()))?;
+                let busy = notice
+                    .workload
+                    .ok_or_else(|| Malformed("the notice lacks a workload".into()))?;
                 let (life, busy) = busy.into();
                 Ok(Self::Notice(Notice { daemon: notice.daemon, life, busy, parts: notice.parts }))
             }
-            Some(wire::Body::Held(held)) => Ok(Self::Held(held.try_into()?)),
-            Some(wire::Body::AskHeld(ask)) => Ok(Self::AskHeld(ask.daemon, named(ask.keeper)?)),
+            Some(wire::Body::Residency(held)) => Ok(Self::Residency(held.try_into()?)),
+            Some(wire::Body::FetchResidency(ask)) => {
+                Ok(Self::FetchResidency(ask.daemon, decode_keeper(ask.keeper)?))
+            }
             Some(wire::Body::Submission(submission)) => {
                 Ok(Self::Submission(Box::new(submission.try_into()?)))
             }
@@ -163,19 +176,19 @@
     }
 }
 
-fn topic(number: u32) -> Result<Topic, Malformed> {
-    Topic::from_number(number).ok_or_else(|| Malformed(format!("no topic {number}")))
+fn decode_topic(number: u32) -> Result<Topic, Malformed> {
+    Topic::from_number(number).ok_or_else(|| Malformed(format!("unknown topic {number}")))
 }
 
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn age_number(age: Option<Duration>) -> u32 {
+fn encode_age(age: Option<Duration>) -> u32 {
     age.map_or(0, |age| millis(age).saturating_add(1))
 }
 
-fn age(number: u32) -> Option<Duration> {
+fn decode_age(number: u32) -> Option<Duration> {
     Some(Duration::from_millis(u64::from(number.checked_sub(1)?)))
 }
 
@@ -183,49 +196,51 @@
     fn from(keeper: Holder) -> Self {
         match keeper {
             Holder::Engine(life) => {
-                Self { server: life.id, born: life.started_ms, store: String::new() }
+                Self { server: life.id, born: life.started_ms, store_address: String::new() }
             }
             Holder::Store(address) => {
-                Self { server: String::new(), born: 0, store: address.to_string() }
+                Self { server: String::new(), born: 0, store_address: address.to_string() }
             }
         }
     }
 }
 
-fn named(keeper: Option<wire::Keeper>) -> Result<Holder, Malformed> {
-    let keeper = keeper.ok_or_else(|| Malformed("the frame names no keeper".into()))?;
+fn decode_keeper(keeper: Option<wire::Keeper>) -> Result<Holder, Malformed> {
+    let keeper = keeper.ok_or_else(|| Malformed("the frame lacks a holder of parts".into()))?;
     if !keeper.server.is_empty() {
         return Ok(Holder::Engine(Incarnation::new(keeper.server, keeper.born)));
     }
-    let address = keeper.store.parse();
-    address.map(Holder::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
+    let address = keeper.store_address.parse();
+    address
+        .map(Holder::Store)
+        .map_err(|_| Malformed(format!("invalid address: {:?}", keeper.store_address)))
 }
 
-impl From<Update> for wire::Held {
+impl From<Update> for wire::Residency {
     fn from(told: Update) -> Self {
         Self {
             daemon: told.daemon,
             keeper: Some(told.holder.into()),
             number: told.sequence,
-            whole: told.full,
+            is_snapshot: told.full,
             parts: told.changes.iter().map(|(part, _)| *part).collect(),
             tokens: told.changes.iter().map(|(_, tokens)| *tokens).collect(),
         }
     }
 }
 
-impl TryFrom<wire::Held> for Update {
+impl TryFrom<wire::Residency> for Update {
     type Error = Malformed;
 
-    fn try_from(held: wire::Held) -> Result<Self, Malformed> {
+    fn try_from(held: wire::Residency) -> Result<Self, Malformed> {
         if held.parts.len() != held.tokens.len() {
-            return Err(Malformed("the frame's parts and their tokens do not match".into()));
+            return Err(Malformed("the frame's parts and token counts differ in number".into()));
         }
         Ok(Self {
             daemon: held.daemon,
-            holder: named(held.keeper)?,
+            holder: decode_keeper(held.keeper)?,
             sequence: held.number,
-            full: held.whole,
+            full: held.is_snapshot,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
         })
     }
@@ -238,7 +253,7 @@
             records: batch.records.into_iter().map(wire::Record::from).collect(),
             from: batch.from,
             to: batch.to,
-            whole: false,
+            is_snapshot: false,
         }
     }
 }
@@ -248,7 +263,7 @@
 
     fn try_from(records: wire::Records) -> Result<Self, Malformed> {
         Ok(Self {
-            topic: topic(records.topic)?,
+            topic: decode_topic(records.topic)?,
             from: records.from,
             to: records.to,
             records: records.records.into_iter().map(Record::from).collect(),
@@ -259,14 +274,14 @@
 impl From<Naming> for wire::Naming {
     fn from(naming: Naming) -> Self {
         let Naming { model, version, age } = naming;
-        Self { model, version, age_ms: age_number(age) }
+        Self { model, version, age_ms: encode_age(age) }
     }
 }
 
 impl From<wire::Naming> for Naming {
     fn from(naming: wire::Naming) -> Self {
         let wire::Naming { model, version, age_ms } = naming;
-        Self { model, version, age: age(age_ms) }
+        Self { model, version, age: decode_age(age_ms) }
     }
 }
 
@@ -282,33 +297,46 @@
     }
 }
 
-impl From<(Incarnation, Workload)> for wire::Busy {
-    fn from((life, busy): (Incarnation, Workload)) -> Self {
+impl From<(Incarnation, Workload)> for wire::Workload {
+    fn from((life, workload): (Incarnation, Workload)) -> Self {
         Self {
             server: life.id,
             born: life.started_ms,
-            running: busy.running,
-            pending_tokens: busy.pending_tokens,
-            ordered: busy.ordered,
-            heard_ms: busy.heard_ms,
-            unanswered_ms: busy.unanswered_ms,
+            running: workload.running,
+            pending_tokens: workload.pending_tokens,
+            loading_weights: workload.loading_weights,
+            last_answer_age_ms: workload.last_answer_age_ms,
+            unanswered_ms: workload.unanswered_ms,
         }
     }
 }
 
-impl From<wire::Busy> for (Incarnation, Workload) {
-    fn from(busy: wire::Busy) -> Self {
-        let wire::Busy { server, running, pending_tokens, ordered, heard_ms, unanswered_ms, born } =
-            busy;
-        let busy = Workload { running, pending_tokens, ordered, heard_ms, unanswered_ms };
-        (Incarnation::new(server, born), busy)
+impl From<wire::Workload> for (Incarnation, Workload) {
+    fn from(workload: wire::Workload) -> Self {
+        let wire::Workload {
+            server,
+            running,
+            pending_tokens,
+            loading_weights,
+            last_answer_age_ms,
+            unanswered_ms,
+            born,
+        } = workload;
+        let workload = Workload {
+            running,
+            pending_tokens,
+            loading_weights,
+            last_answer_age_ms,
+            unanswered_ms,
+        };
+        (Incarnation::new(server, born), workload)
     }
 }
 
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
         let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
-        let busy = digest.busy.into_iter().map(wire::Busy::from);
+        let workloads = digest.workloads.into_iter().map(wire::Workload::from);
         let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
             server: life.id,
             born: life.started_ms,
@@ -320,24 +348,24 @@
             address: digest.address,
             cores: digest.cores,
             interval_ms: millis(digest.interval),
-            read_ages: digest.read_ages.into_iter().map(age_number).collect(),
+            read_ages_ms: digest.read_ages.into_iter().map(encode_age).collect(),
             incarnation: digest.incarnation,
             draining: digest.draining,
-            ends: digest.ends,
-            busy: busy.collect(),
+            end_offsets: digest.end_offsets,
+            workloads: workloads.collect(),
             weights: weights.collect(),
-            hot_parts: digest.heat.iter().map(|(part, _)| *part).collect(),
-            hot_work_ms: digest.heat.iter().map(|(_, work_ms)| *work_ms).collect(),
+            hot_parts: digest.hot_parts.iter().map(|(part, _)| *part).collect(),
+            hot_work_ms: digest.hot_parts.iter().map(|(_, work_ms)| *work_ms).collect(),
             refused: digest.refused.into_iter().map(|fingerprint| fingerprint.0).collect(),
-            link_moved: digest.link_moved,
+            link_bytes_moved: digest.link_bytes_moved,
             blocked,
             blocked_ages_ms,
-            sent_ms: u64::try_from(digest.sent.as_millis()).unwrap_or(u64::MAX),
+            sent_at_ms: u64::try_from(digest.sent_at.as_millis()).unwrap_or(u64::MAX),
             named: digest.named.into_iter().map(wire::Naming::from).collect(),
-            missed_nothing_for: age_number(digest.missed_nothing_for),
-            keeper: digest.keeper,
-            used_by: digest.used.iter().map(|used| used.workspace.clone()).collect(),
-            used_units: digest.used.iter().map(|used| used.units).collect(),
+            caught_up_age_ms: encode_age(digest.caught_up_age),
+            quota_keeper: digest.quota_keeper,
+            quota_workspaces: digest.quota_use.iter().map(|used| used.workspace.clone()).collect(),
+            quota_units: digest.quota_use.iter().map(|used| used.units).collect(),
         }
     }
 }
@@ -347,30 +375,32 @@
 
     fn try_from(digest: wire::Digest) -> Result<Self, Malformed> {
         if digest.daemon.is_empty() {
-            return Err(Malformed("the digest names no daemon".into()));
+            return Err(Malformed("the digest lacks a daemon id".into()));
         }
         if digest.hot_parts.len() != digest.hot_work_ms.len()
             || !digest.hot_work_ms.iter().all(|work_ms| *work_ms >= 0.0 && work_ms.is_finite())
         {
-            return Err(Malformed("the digest's parts and their work do not match".into()));
+            return Err(Malformed("the digest's hot parts or their work are invalid".into()));
         }
-        if digest.used_by.len() != digest.used_units.len() {
-            return Err(Malformed("the digest's workspaces and their use do not match".into()));
+        if digest.quota_workspaces.len() != digest.quota_units.len() {
+            return Err(Malformed(
+                "the digest's workspaces and quota units differ in number".into(),
+            ));
         }
         if !digest.cores.is_finite() {
-            return Err(Malformed("the digest's VM has no number of cores".into()));
+            return Err(Malformed("the digest's number of cores is not finite".into()));
         }
-        let busy = digest.busy.into_iter().map(<(Incarnation, Workload)>::from);
+        let workloads = digest.workloads.into_iter().map(<(Incarnation, Workload)>::from);
         Ok(Self {
             daemon: digest.daemon,
             address: digest.address,
             cores: digest.cores,
             interval: Duration::from_millis(u64::from(digest.interval_ms)),
-            read_ages: digest.read_ages.into_iter().map(age).collect(),
+            read_ages: digest.read_ages_ms.into_iter().map(decode_age).collect(),
             incarnation: digest.incarnation,
             draining: digest.draining,
-            ends: digest.ends,
-            busy: busy.collect(),
+            end_offsets: digest.end_offsets,
+            workloads: workloads.collect(),
             weights: digest
                 .weights
                 .into_iter()
@@ -378,18 +408,18 @@
                     (Incarnation::new(weights.server, weights.born), weights.model, weights.version)
                 })
                 .collect(),
-            heat: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
+            hot_parts: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
             refused: digest.refused.into_iter().map(Fingerprint).collect(),
-            link_moved: digest.link_moved,
+            link_bytes_moved: digest.link_bytes_moved,
             blocked: poison::blocks_from_wire(digest.blocked, digest.blocked_ages_ms),
-            sent: Duration::from_millis(digest.sent_ms),
+            sent_at: Duration::from_millis(digest.sent_at_ms),
             named: digest.named.into_iter().map(Naming::from).collect(),
-            missed_nothing_for: age(digest.missed_nothing_for),
-            keeper: digest.keeper,
-            used: digest
-                .used_by
+            caught_up_age: decode_age(digest.caught_up_age_ms),
+            quota_keeper: digest.quota_keeper,
+            quota_use: digest
+                .quota_workspaces
                 .into_iter()
-                .zip(digest.used_units)
+                .zip(digest.quota_units)
                 .map(|(workspace, units)| Usage { workspace, units })
                 .collect(),
         })
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -107,15 +107,15 @@
         if now >= self.next_heat_digest {
             self.next_heat_digest = now + HEAT_INTERVAL;
             let hottest = self.heat.top(now, MAX_HOT_PARTS).into_iter();
-            digest.heat = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
+            digest.hot_parts = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
         }
         if schedules {
             let announced = Digest {
                 interval: DIGEST_INTERVAL * ANNOUNCEMENT_INTERVALS,
-                busy: BTreeMap::new(),
-                heat: Vec::new(),
+                workloads: BTreeMap::new(),
+                hot_parts: Vec::new(),
                 refused: Vec::new(),
-                used: Vec::new(),
+                quota_use: Vec::new(),
                 ..digest.clone()
             };
             self.send_digest(now, &others, announced);
@@ -187,18 +187,18 @@
             read_ages: self.read_ages(now),
             incarnation: self.identity.incarnation,
             draining: self.draining,
-            ends: Topic::ALL.iter().map(|topic| self.catalog.end(*topic)).collect(),
-            busy: busy.collect(),
+            end_offsets: Topic::ALL.iter().map(|topic| self.catalog.end(*topic)).collect(),
+            workloads: busy.collect(),
             weights: seen.map(|(life, model, v, _)| (life.clone(), model.clone(), *v)).collect(),
-            heat: Vec::new(),
+            hot_parts: Vec::new(),
             refused: self.expected.own(),
-            link_moved: self.kv_link.moved_bytes(),
+            link_bytes_moved: self.kv_link.moved_bytes(),
             blocked: self.poison.unstored_blocks(now),
-            sent: now,
+            sent_at: now,
             named: self.rollout.own_namings.recent(now, self.policy.weights_limit),
-            missed_nothing_for: self.rollout.complete_until.map(|at| now.saturating_sub(at)),
-            keeper: self.quota_leadership.name().to_owned(),
-            used: self.quota.recent_usage(now),
+            caught_up_age: self.rollout.complete_until.map(|at| now.saturating_sub(at)),
+            quota_keeper: self.quota_leadership.name().to_owned(),
+            quota_use: self.quota.recent_usage(now),
         }
     }
 
@@ -207,13 +207,13 @@
         match frame {
             Frame::Digest(digest) => self.handle_digest(now, *digest),
             Frame::Notice(notice) => self.apply_notice(now, notice),
-            Frame::Held(told) => self.handle_residency_update(now, &told),
-            Frame::AskHeld(daemon, keeper) => self.send_full_residency(&daemon, keeper),
+            Frame::Residency(told) => self.handle_residency_update(now, &told),
+            Frame::FetchResidency(daemon, keeper) => self.send_full_residency(&daemon, keeper),
             Frame::Submission(submission) => self.handle_submission(now, *submission),
             Frame::Progress(progress) => self.handle_progress(now, progress),
             Frame::Verdict(verdict) => self.handle_verdict(now, *verdict),
             Frame::Poison(message) => self.poison_came(now, message),
-            Frame::Ask(daemon, topic, from) => self.send_records(&daemon, topic, from),
+            Frame::Fetch(daemon, topic, from) => self.send_records(&daemon, topic, from),
             Frame::Records(batch) => {
                 self.apply_from_peer(batch.topic, |node| node.apply_batch(now, batch, true));
             }
@@ -282,13 +282,14 @@
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
             let known =
                 peer.digest.as_ref().filter(|known| known.incarnation == digest.incarnation);
-            let moved = known.map(|known| digest.link_moved.saturating_sub(known.link_moved));
+            let moved =
+                known.map(|known| digest.link_bytes_moved.saturating_sub(known.link_bytes_moved));
             self.kv_link.deduct(moved.unwrap_or_default());
             let restarted =
                 peer.digest.as_ref().is_some_and(|known| known.incarnation != digest.incarnation);
             peer.heard_at = Some(now);
-            if !digest.heat.is_empty() {
-                peer.heat = digest.heat.iter().copied().collect();
+            if !digest.hot_parts.is_empty() {
+                peer.heat = digest.hot_parts.iter().copied().collect();
                 peer.heat_at = now;
             }
             let (daemon, incarnation) = (digest.daemon.clone(), digest.incarnation);
@@ -297,7 +298,7 @@
             peer.record_digest(now, &digest);
             let delay = peer.digest_delay();
             let told =
-                (digest.ends.get(Topic::Operator as usize).copied(), digest.missed_nothing_for);
+                (digest.end_offsets.get(Topic::Operator as usize).copied(), digest.caught_up_age);
             peer.digest = Some(digest);
             self.apply_peer_completeness(now, told, delay);
             if restarted {
@@ -328,7 +329,7 @@
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
-        digest.busy.insert(life, busy);
+        digest.workloads.insert(life, busy);
         self.peer_loads_stale = true;
     }
 
@@ -347,7 +348,7 @@
         self.peer_loads.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
             let (Some(digest), Some(told)) = (&peer.digest, peer.heard_at) else { continue };
-            for (life, busy) in &digest.busy {
+            for (life, busy) in &digest.workloads {
                 if let Some(key) = self.incarnations.server(life) {
                     self.peer_loads.entry(key).or_default().add(told, busy);
                 }
@@ -361,7 +362,7 @@
             let ahead = self
                 .live_peers(now)
                 .filter_map(|(_, peer)| {
-                    Some((*peer.digest.as_ref()?.ends.get(index)?, peer.address))
+                    Some((*peer.digest.as_ref()?.end_offsets.get(index)?, peer.address))
                 })
                 .max_by_key(|(end, _)| *end)
                 .filter(|(end, _)| *end > own);
@@ -371,7 +372,7 @@
             };
             if now >= *self.behind.entry(topic).or_insert(now) + CATCH_UP_DELAY {
                 self.behind.insert(topic, now);
-                let frame = Frame::Ask(self.identity.id.clone(), topic, own);
+                let frame = Frame::Fetch(self.identity.id.clone(), topic, own);
                 self.effects.push(Effect::Send(vec![address], frame));
             }
         }
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -1,33 +1,34 @@
-//! Requests are taken back from servers that have fallen silent, or whose weights are too old.
+//! Takes requests back from servers that are silent or whose weights are too old.
 
 use super::request::Phase;
 use super::scheduling::Stage;
 use super::{Command, Key, Node};
 use crate::prelude::*;
 
-/// Silence of a server, to all daemons, after which requests that wait for it are sent elsewhere:
-/// longer than the largest prompts take, and than peers need to tell of an answer.
-const SILENT_AFTER: Duration = Duration::from_millis(700);
+/// Silence of a server towards all daemons after which its unanswered requests are sent elsewhere.
+/// Longer than the largest prompts take and than peers need to report an answer.
+const SILENCE_LIMIT: Duration = Duration::from_millis(700);
 
 impl Node {
-    /// Notes for each server since when requests wait for its answer, and moves those away that may
-    /// be repeated from servers that have fallen silent.
+    /// Updates the time since which each server has unanswered requests, recalls requests from outdated
+    /// weights, and moves repeatable requests away from silent servers.
     pub(super) fn check_unanswered(&mut self, now: Time) {
-        self.take_over_late(now);
+        self.take_over_unrecalled(now);
         for server in self.servers.values_mut() {
             server.unanswered_since = None;
         }
-        let (mut late, mut recalled) = (Vec::new(), Vec::new());
+        let (mut overdue, mut recalled) = (Vec::new(), Vec::new());
         for (key, request) in &self.requests {
-            let Phase::Sent { server, begun: false, at, .. } = request.phase else { continue };
+            let Phase::Sent { server, begun: false, sent_at, .. } = request.phase else { continue };
             if let Some(state) = self.servers.get_mut(server) {
                 state.unanswered_since =
-                    Some(state.unanswered_since.map_or(at, |since| since.min(at)));
+                    Some(state.unanswered_since.map_or(sent_at, |since| since.min(sent_at)));
             }
-            if now >= at + SILENT_AFTER {
-                late.push((*key, server));
+            if now >= sent_at + SILENCE_LIMIT {
+                overdue.push((*key, server));
             }
-            if let (Some(prompt), Some(version)) = (&request.arrival.prompt, request.weights)
+            if let (Some(prompt), Some(version)) =
+                (&request.arrival.prompt, request.weights_version)
                 && self.needs_recall(now, &prompt.model, version)
             {
                 recalled.push(*key);
@@ -36,34 +37,34 @@
         for key in recalled {
             self.recall(now, key);
         }
-        for (key, server) in late {
+        for (key, server) in overdue {
             let silent =
                 self.servers.get(server).map(|state| self.load(server, state).silence(now));
-            if silent.is_some_and(|silent| silent >= SILENT_AFTER) {
+            if silent.is_some_and(|silent| silent >= SILENCE_LIMIT) {
                 self.move_request(now, key);
             }
         }
     }
 
-    /// Takes requests over from schedulers that ought to have taken them back from old weights, and may have ended.
-    fn take_over_late(&mut self, now: Time) {
-        let late = self.requests.iter().filter(|(_, request)| {
+    /// Takes over requests that their scheduler did not recall from old weights; it may have ended.
+    fn take_over_unrecalled(&mut self, now: Time) {
+        let overdue = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
-            let weights = request.arrival.prompt.as_ref().zip(request.weights);
+            let weights = request.arrival.prompt.as_ref().zip(request.weights_version);
             placed && weights.is_some_and(|(prompt, v)| self.needs_takeover(now, &prompt.model, v))
         });
-        let late: Vec<Key> = late.map(|(key, _)| *key).collect();
-        for key in late {
+        let overdue: Vec<Key> = overdue.map(|(key, _)| *key).collect();
+        for key in overdue {
             self.withdraw_from_scheduler(now, key);
         }
     }
 
-    /// Takes a request back that must not begin on the weights that it was sent to.
+    /// Takes back a request that must not begin on the weights to which it was sent.
     pub(super) fn recall(&mut self, now: Time, key: Key) {
         self.move_request(now, key);
         let Some(request) = self.requests.get(&key) else { return };
-        let Phase::Sent { at, .. } = request.phase else { return };
-        if at == now {
+        let Phase::Sent { sent_at, .. } = request.phase else { return };
+        if sent_at == now {
             return;
         }
         self.counts.recalled += 1;
@@ -72,10 +73,10 @@
         self.forget(now, key);
     }
 
-    /// Sends a request elsewhere whose server has fallen silent, where its route allows it.
+    /// Sends a request to another server, if its route and the retry budget allow it.
     pub(super) fn move_request(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
-        let Phase::Sent { server, at, .. } = request.phase else { return };
+        let Phase::Sent { server, sent_at, .. } = request.phase else { return };
         let pool = request.pool.clone();
         if !request.may_repeat() || self.may_end_servers(now, key) {
             return;
@@ -86,8 +87,8 @@
         }
         self.counts.moved += 1;
         self.log_taken_back(Event::RequestMoved, now, key);
-        // It may be what silenced the server; whether that has ended its registration will tell.
-        self.connection_lost(now, key, server, now.saturating_sub(at));
+        // The request may have crashed the server; whether its registration ends will show that.
+        self.connection_lost(now, key, server, now.saturating_sub(sent_at));
         self.release(key);
         self.dispatch(now, key, choice);
     }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     pub(super) fn handle_read(&mut self, now: Time, read: Read) {
-        let Read { batch, whole, asked } = read;
+        let Read { batch, is_snapshot: whole, current_at: asked } = read;
         let topic = batch.topic;
         self.mark_readable(now, Dependency::Topic(topic));
         self.read_at.insert(topic, now);
@@ -204,7 +204,7 @@
             .and("born", entry.incarnation.started_ms);
         self.event(Event::ServerRestarted, detail);
         let attempts = self.requests.iter().filter_map(|(key, request)| match request.phase {
-            Phase::Sent { server, at, .. } if server == former => Some((*key, at)),
+            Phase::Sent { server, sent_at: at, .. } if server == former => Some((*key, at)),
             _ => None,
         });
         let attempts: Vec<(Key, Time)> = attempts.collect();
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -122,7 +122,7 @@
         }
         poll.next_request_at = now + FULL_UPDATE_REQUEST_INTERVAL;
         if let Some(address) = self.peer_address(&update.daemon) {
-            let request = Frame::AskHeld(self.identity.id.clone(), update.holder.clone());
+            let request = Frame::FetchResidency(self.identity.id.clone(), update.holder.clone());
             self.effects.push(Effect::Send(vec![address], request));
         }
     }
@@ -136,7 +136,7 @@
         };
         let daemon = self.identity.id.clone();
         let update = Update { daemon, holder, sequence, full: true, changes };
-        self.effects.push(Effect::Send(vec![address], Frame::Held(update)));
+        self.effects.push(Effect::Send(vec![address], Frame::Residency(update)));
     }
 
     fn send_residency_update(
@@ -155,7 +155,7 @@
         if !peers.is_empty() {
             let daemon = self.identity.id.clone();
             let update = Update { daemon, holder, sequence, full, changes };
-            self.effects.push(Effect::Send(peers, Frame::Held(update)));
+            self.effects.push(Effect::Send(peers, Frame::Residency(update)));
         }
     }
 
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -222,7 +222,7 @@
             model: model.clone(),
             version,
             fence,
-            expect: entry.sequence,
+            expected_sequence: entry.sequence,
         };
         let detail = Detail::of("server", entry.incarnation.id.as_str())
             .and("model", model)
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -1,4 +1,4 @@
-//! The requests of other daemons that this one schedules.
+//! Requests of other daemons that this daemon schedules.
 
 use std::net::SocketAddr;
 
@@ -9,29 +9,29 @@
 use crate::prelude::*;
 use crate::route::{Route, Split, Workspace};
 
-/// Keys of other daemons' requests have this bit, so that they are none of this daemon's own.
-const SERVED: u64 = 1 << 63;
-/// Time after a request's deadline at which it counts as ended, whatever its daemon did not tell.
-const OVER: Duration = Duration::from_secs(1);
-/// Time between two looks for requests that have ended untold.
-const LOOK: Duration = Duration::from_secs(1);
+/// Bit set in the keys of other daemons' requests, to keep them apart from this daemon's own keys.
+const REMOTE_KEY_BIT: u64 = 1 << 63;
+/// Time after a request's deadline at which it counts as ended even if its daemon did not report it.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
+/// Interval between checks for requests whose end was not reported.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whose request it is, where it is another daemon's.
+/// The daemon that submitted a request, with its key there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(in crate::fleet) struct Origin {
     daemon: String,
     request: Key,
     address: SocketAddr,
-    /// The incarnation of the daemon that has it.
+    /// The incarnation of that daemon.
     incarnation: u64,
 }
 
-/// The requests of other daemons.
+/// Index of the requests submitted by other daemons.
 #[derive(Debug, Default)]
 pub(in crate::fleet) struct Submissions {
     keys: BTreeMap<String, BTreeMap<Key, Key>>,
-    next: u64,
-    next_look: Time,
+    last_number: u64,
+    next_expiry_check: Time,
 }
 
 impl Submissions {
@@ -40,13 +40,13 @@
     }
 
     fn add(&mut self, daemon: &str, request: Key) -> Key {
-        self.next += 1;
-        let key = Key(SERVED | self.next);
+        self.last_number += 1;
+        let key = Key(REMOTE_KEY_BIT | self.last_number);
         self.keys.entry(daemon.to_owned()).or_default().insert(request, key);
         key
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub(in crate::fleet) fn remove(&mut self, origin: &Origin) {
         if let Some(keys) = self.keys.get_mut(&origin.daemon) {
             keys.remove(&origin.request);
@@ -56,24 +56,24 @@
         }
     }
 
-    /// How many there are.
+    /// The number of submitted requests.
     pub(in crate::fleet) fn len(&self) -> usize {
         self.keys.values().map(BTreeMap::len).sum()
     }
 }
 
 impl Node {
-    /// Takes over a request for which another daemon wants a server.
+    /// Accepts a request that another daemon submits.
     pub(in crate::fleet) fn handle_submission(&mut self, now: Time, submission: Submission) {
         let Some(address) = self.peer_address(&submission.daemon) else { return };
         let Submission { daemon, incarnation, request, .. } = &submission;
         let (daemon, request, incarnation) = (daemon.clone(), *request, *incarnation);
         let origin = Origin { daemon, request, address, incarnation };
         if self.draining || !self.is_ready() {
-            return self.rule(&origin, Decision::Return);
+            return self.send_verdict(&origin, Decision::Return);
         }
         if let Some(known) = self.served.key(&origin.daemon, origin.request) {
-            // The daemon has started again and counts from the beginning.
+            // The daemon has restarted and reuses its request keys.
             self.forget(now, known);
         }
         let key = self.served.add(&origin.daemon, origin.request);
@@ -81,39 +81,41 @@
         self.take_in(now, arrival, pool, Some(origin));
     }
 
-    /// Tells the daemon that has a request that it waits here, at first or once more: a scheduler that
-    /// says nothing is taken to be gone.
+    /// Tells the submitting daemon that its request waits here, for the first time or again. Daemons
+    /// treat a scheduler that does not reply as gone.
     pub(in crate::fleet) fn send_queued(&mut self, key: Key) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         if let Some(origin) = origin {
-            self.rule(&origin, Decision::Queued);
+            self.send_verdict(&origin, Decision::Queued);
         }
     }
 
-    /// Takes over what another daemon tells of a request that this one schedules.
+    /// Handles a state change of a request that this daemon schedules for another.
     pub(in crate::fleet) fn handle_progress(&mut self, now: Time, progress: Progress) {
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
-            Step::Left => self.forget(now, key),
+            Step::Withdrawn => self.forget(now, key),
             Step::Report(report) => self.handle_report(now, key, progress.attempt, report),
         }
     }
 
-    /// Tells whoever has a request what to do: traffic here, or the daemon that submitted it.
+    /// Sends a command for a request to the local traffic handler or to the daemon that submitted it.
     pub(in crate::fleet) fn command(&mut self, key: Key, command: Command) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         let Some(origin) = origin else {
             return self.effects.push(Effect::Command(key, command));
         };
         match command {
-            Command::Refuse(code, after) => self.rule(&origin, Decision::Refuse(code, after)),
-            Command::GiveUp => self.rule(&origin, Decision::GiveUp),
-            // Those are assigned with what the daemon needs to go on by itself.
+            Command::Refuse(code, after) => {
+                self.send_verdict(&origin, Decision::Refuse(code, after))
+            }
+            Command::GiveUp => self.send_verdict(&origin, Decision::GiveUp),
+            // `assign` sends these, with the details that the daemon needs to continue on its own.
             Command::Dispatch(_) => {}
         }
     }
 
-    /// Has a request sent to the server chosen.
+    /// Dispatches a request to the chosen server.
     pub(in crate::fleet) fn assign(&mut self, key: Key, dispatch: Dispatch, choice: &Choice) {
         let origin = self.requests.get(&key).and_then(|request| request.origin.clone());
         let (Some(origin), Some(server)) = (origin, self.servers.get(choice.server)) else {
@@ -121,69 +123,69 @@
         };
         let assignment = Assignment {
             attempt: dispatch.attempt,
-            life: server.entry.incarnation.clone(),
+            server: server.entry.incarnation.clone(),
             address: dispatch.address,
-            tokens: choice.read_tokens,
-            salt: dispatch.salt,
-            weights: dispatch.weights,
+            prefill_tokens: choice.read_tokens,
+            cache_salt: dispatch.cache_salt,
+            weights_version: dispatch.weights_version,
             fetch_from: dispatch.fetch_from,
             save_to: dispatch.save_to,
         };
-        self.rule(&origin, Decision::Send(assignment));
+        self.send_verdict(&origin, Decision::Send(assignment));
     }
 
-    fn rule(&mut self, origin: &Origin, ruling: Decision) {
+    fn send_verdict(&mut self, origin: &Origin, decision: Decision) {
         let daemon = self.identity.id.clone();
-        let verdict = Verdict { daemon, request: origin.request, ruling };
+        let verdict = Verdict { daemon, request: origin.request, decision };
         self.effects.push(Effect::Send(vec![origin.address], Frame::Verdict(Box::new(verdict))));
     }
 
-    /// Gives back what waits here for other daemons: this one stops.
+    /// Returns the queued requests of other daemons because this daemon is stopping.
     pub(in crate::fleet) fn return_queued_requests(&mut self, now: Time) {
-        let waits = |request: &Request| matches!(request.phase, Phase::Waiting(_));
-        let waiting = self.requests.iter().filter(|(_, request)| waits(request));
+        let is_waiting = |request: &Request| matches!(request.phase, Phase::Waiting(_));
+        let waiting = self.requests.iter().filter(|(_, request)| is_waiting(request));
         let waiting = waiting.filter_map(|(key, request)| Some((*key, request.origin.clone()?)));
         let waiting: Vec<(Key, Origin)> = waiting.collect();
         for (key, origin) in waiting {
-            self.rule(&origin, Decision::Return);
+            self.send_verdict(&origin, Decision::Return);
             self.forget(now, key);
         }
     }
 
-    /// Forgets requests whose time is over, since their end may have been told in vain.
+    /// Drops requests past their deadline, as the message about their end may have been lost.
     pub(in crate::fleet) fn drop_expired_submissions(&mut self, now: Time) {
-        if now < self.served.next_look {
+        if now < self.served.next_expiry_check {
             return;
         }
-        self.served.next_look = now + LOOK;
-        let is_over = |request: &Request| now >= request.arrival.deadline + OVER;
-        self.forget_served(now, |request, _| is_over(request));
+        self.served.next_expiry_check = now + EXPIRY_CHECK_INTERVAL;
+        let is_expired = |request: &Request| now >= request.arrival.deadline + DEADLINE_MARGIN;
+        self.drop_submissions(now, |request, _| is_expired(request));
     }
 
-    /// Forgets the requests of a daemon's former incarnations.
+    /// Drops the requests of a daemon's former incarnations.
     pub(in crate::fleet) fn drop_past_incarnations(
         &mut self,
         now: Time,
         daemon: &str,
         incarnation: u64,
     ) {
-        self.forget_served(now, |_, origin| {
+        self.drop_submissions(now, |_, origin| {
             origin.daemon == daemon && origin.incarnation != incarnation
         });
     }
 
-    fn forget_served(&mut self, now: Time, ended: impl Fn(&Request, &Origin) -> bool) {
-        let over = self.requests.iter().filter(|(_, request)| {
-            request.origin.as_ref().is_some_and(|origin| ended(request, origin))
+    fn drop_submissions(&mut self, now: Time, should_drop: impl Fn(&Request, &Origin) -> bool) {
+        let dropped = self.requests.iter().filter(|(_, request)| {
+            request.origin.as_ref().is_some_and(|origin| should_drop(request, origin))
         });
-        let over: Vec<Key> = over.map(|(key, _)| *key).collect();
-        for key in over {
+        let dropped: Vec<Key> = dropped.map(|(key, _)| *key).collect();
+        for key in dropped {
             self.forget(now, key);
         }
     }
 }
 
-/// The request of a submission, as one of this daemon's own, and its pool.
+/// Converts a submission into an arrival at this daemon and its pool.
 fn arrival(now: Time, request: Key, submission: Submission) -> (String, Arrival) {
     let route = Route {
         name: submission.route,
@@ -191,11 +193,11 @@
         prefix: String::new(),
         repeat: submission.repeat,
         streams: submission.prompt.is_some(),
-        timeout: submission.left,
+        timeout: submission.time_left,
         target: submission.target,
-        priority: submission.rank,
+        priority: submission.priority,
         splits: vec![Split { pool: submission.pool.clone(), weight: 1 }],
-        attempts: submission.attempts,
+        attempts: submission.max_attempts,
         public: true,
     };
     let arrival = Arrival {
@@ -205,7 +207,7 @@
         workspace: submission
             .workspace
             .map(|owner| Arc::new(Workspace { priority: None, ..owner })),
-        deadline: now + submission.left,
+        deadline: now + submission.time_left,
         prompt: submission.prompt,
         fingerprint: submission.fingerprint,
     };
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -1,4 +1,4 @@
-//! The form of schedulers' frames on the wire.
+//! Wire format of the messages between daemons and schedulers.
 
 use std::net::SocketAddr;
 
@@ -31,11 +31,11 @@
     attempts: u32,
     #[prost(string, tag = "10")]
     pool: String,
-    /// The workspace, where it shares no cached prompt with others.
+    /// The workspace, if it shares no cached prompts with others.
     #[prost(string, optional, tag = "11")]
     isolated: Option<String>,
     #[prost(uint32, tag = "12")]
-    left_ms: u32,
+    time_left_ms: u32,
     #[prost(message, optional, tag = "13")]
     prompt: Option<WirePrompt>,
     #[prost(fixed64, tag = "14")]
@@ -53,7 +53,7 @@
     rate: u64,
     #[prost(uint64, tag = "2")]
     burst: u64,
-    /// Tokens of a request that tells of none, where tokens are counted.
+    /// Tokens charged for a request that states none, if the quota counts tokens.
     #[prost(uint32, optional, tag = "3")]
     plain: Option<u32>,
 }
@@ -66,7 +66,7 @@
     input: u32,
     #[prost(uint32, tag = "3")]
     output: u32,
-    /// Parts, beside their tokens.
+    /// Ids of the parts, parallel to `tokens`.
     #[prost(fixed64, repeated, tag = "4")]
     parts: Vec<u64>,
     #[prost(uint32, repeated, tag = "5")]
@@ -85,9 +85,9 @@
     step: u32,
     #[prost(uint64, optional, tag = "5")]
     weights: Option<u64>,
-    /// Of a lost answer: whether something came that is none.
+    /// For a lost answer: whether the server sent something that is not a valid answer.
     #[prost(bool, tag = "6")]
-    unusable: bool,
+    invalid_answer: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -119,32 +119,32 @@
     #[prost(uint64, tag = "2")]
     request: u64,
     #[prost(uint32, tag = "3")]
-    ruling: u32,
+    decision: u32,
     #[prost(message, optional, tag = "4")]
     assignment: Option<WireAssignment>,
     #[prost(uint32, tag = "5")]
     code: u32,
     #[prost(uint32, tag = "6")]
-    after_ms: u32,
+    retry_after_ms: u32,
 }
 
 fn ms(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn span(ms: u32) -> Duration {
+fn duration(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
 }
 
 fn unknown(what: &str, number: u32) -> Malformed {
-    Malformed(format!("no {what} {number}"))
+    Malformed(format!("unknown {what} {number}"))
 }
 
 fn address(text: &str) -> Result<SocketAddr, Malformed> {
-    text.parse().map_err(|_| Malformed(format!("no address: {text:?}")))
+    text.parse().map_err(|_| Malformed(format!("invalid address: {text:?}")))
 }
 
-fn maybe_address(text: Option<String>) -> Result<Option<SocketAddr>, Malformed> {
+fn optional_address(text: Option<String>) -> Result<Option<SocketAddr>, Malformed> {
     text.map(|text| address(&text)).transpose()
 }
 
@@ -168,11 +168,11 @@
             route: submission.route,
             repeat,
             target_ms: ms(submission.target),
-            rank: u32::from(submission.rank),
-            attempts: submission.attempts,
+            rank: u32::from(submission.priority),
+            attempts: submission.max_attempts,
             pool: submission.pool,
             isolated,
-            left_ms: ms(submission.left),
+            time_left_ms: ms(submission.time_left),
             prompt: submission.prompt.map(WirePrompt::from),
             fingerprint: submission.fingerprint.0,
             workspace,
@@ -196,7 +196,7 @@
         let isolated = wire.isolated.map(|name| owner(name, true));
         let workspace = isolated.or_else(|| wire.workspace.map(|name| owner(name, false)));
         if wire.daemon.is_empty() || wire.pool.is_empty() {
-            return Err(Malformed("the submission names no daemon or no pool".into()));
+            return Err(Malformed("the submission lacks a daemon or a pool".into()));
         }
         Ok(Self {
             daemon: wire.daemon,
@@ -205,12 +205,12 @@
             id: wire.id,
             route: wire.route,
             repeat,
-            target: span(wire.target_ms),
-            rank: u8::try_from(wire.rank).map_err(|_| unknown("rank", wire.rank))?,
-            attempts: wire.attempts,
+            target: duration(wire.target_ms),
+            priority: u8::try_from(wire.rank).map_err(|_| unknown("rank", wire.rank))?,
+            max_attempts: wire.attempts,
             pool: wire.pool,
             workspace,
-            left: span(wire.left_ms),
+            time_left: duration(wire.time_left_ms),
             prompt: wire.prompt.map(Prompt::try_from).transpose()?,
             fingerprint: Fingerprint(wire.fingerprint),
         })
@@ -251,7 +251,7 @@
 
     fn try_from(wire: WirePrompt) -> Result<Self, Malformed> {
         if wire.parts.len() != wire.tokens.len() {
-            return Err(Malformed("the prompt's parts and their tokens do not match".into()));
+            return Err(Malformed("the prompt's parts and token counts differ in number".into()));
         }
         let parts = wire.parts.into_iter().zip(wire.tokens);
         Ok(Self {
@@ -266,19 +266,19 @@
 impl From<super::Progress> for Progress {
     fn from(progress: super::Progress) -> Self {
         let (step, weights) = match progress.step {
-            Step::Left => (0, None),
+            Step::Withdrawn => (0, None),
             Step::Report(Report::Begun(weights)) => (1, weights),
             Step::Report(Report::Ended) => (2, None),
             Step::Report(Report::Refused(Refusal::Busy)) => (3, None),
-            Step::Report(Report::Refused(Refusal::Gone)) => (4, None),
-            Step::Report(Report::Refused(Refusal::Weights(weights))) => (5, weights),
+            Step::Report(Report::Refused(Refusal::Replaced)) => (4, None),
+            Step::Report(Report::Refused(Refusal::WrongWeights(weights))) => (5, weights),
             Step::Report(Report::Unsent) => (6, None),
             Step::Report(Report::Lost(_)) => (7, None),
             Step::Report(Report::Failed) => (8, None),
         };
-        let unusable = progress.step == Step::Report(Report::Lost(Loss::Answer));
+        let invalid_answer = progress.step == Step::Report(Report::Lost(Loss::InvalidAnswer));
         let super::Progress { daemon, request, attempt, .. } = progress;
-        Self { daemon, request: request.0, attempt, step, weights, unusable }
+        Self { daemon, request: request.0, attempt, step, weights, invalid_answer }
     }
 }
 
@@ -287,14 +287,14 @@
 
     fn try_from(wire: Progress) -> Result<Self, Malformed> {
         let step = match wire.step {
-            0 => Step::Left,
+            0 => Step::Withdrawn,
             1 => Step::Report(Report::Begun(wire.weights)),
             2 => Step::Report(Report::Ended),
             3 => Step::Report(Report::Refused(Refusal::Busy)),
-            4 => Step::Report(Report::Refused(Refusal::Gone)),
-            5 => Step::Report(Report::Refused(Refusal::Weights(wire.weights))),
+            4 => Step::Report(Report::Refused(Refusal::Replaced)),
+            5 => Step::Report(Report::Refused(Refusal::WrongWeights(wire.weights))),
             6 => Step::Report(Report::Unsent),
-            7 if wire.unusable => Step::Report(Report::Lost(Loss::Answer)),
+            7 if wire.invalid_answer => Step::Report(Report::Lost(Loss::InvalidAnswer)),
             7 => Step::Report(Report::Lost(Loss::Connection)),
             8 => Step::Report(Report::Failed),
             other => return Err(unknown("step", other)),
@@ -308,12 +308,12 @@
     fn from(assignment: Assignment) -> Self {
         Self {
             attempt: assignment.attempt,
-            server: assignment.life.id,
-            born: assignment.life.started_ms,
+            server: assignment.server.id,
+            born: assignment.server.started_ms,
             address: assignment.address.to_string(),
-            tokens: assignment.tokens,
-            salt: assignment.salt,
-            weights: assignment.weights,
+            tokens: assignment.prefill_tokens,
+            salt: assignment.cache_salt,
+            weights: assignment.weights_version,
             fetch_from: assignment.fetch_from.map(|address| address.to_string()),
             save_to: assignment.save_to.map(|address| address.to_string()),
         }
@@ -326,13 +326,13 @@
     fn try_from(wire: WireAssignment) -> Result<Self, Malformed> {
         Ok(Self {
             attempt: wire.attempt,
-            life: Incarnation::new(wire.server, wire.born),
+            server: Incarnation::new(wire.server, wire.born),
             address: address(&wire.address)?,
-            tokens: wire.tokens,
-            salt: wire.salt,
-            weights: wire.weights,
-            fetch_from: maybe_address(wire.fetch_from)?,
-            save_to: maybe_address(wire.save_to)?,
+            prefill_tokens: wire.tokens,
+            cache_salt: wire.salt,
+            weights_version: wire.weights,
+            fetch_from: optional_address(wire.fetch_from)?,
+            save_to: optional_address(wire.save_to)?,
         })
     }
 }
@@ -340,17 +340,17 @@
 impl From<super::Verdict> for Verdict {
     fn from(verdict: super::Verdict) -> Self {
         let wire = Self { daemon: verdict.daemon, request: verdict.request.0, ..Self::default() };
-        match verdict.ruling {
-            Decision::Queued => Self { ruling: 0, ..wire },
+        match verdict.decision {
+            Decision::Queued => Self { decision: 0, ..wire },
             Decision::Send(assignment) => {
-                Self { ruling: 1, assignment: Some(assignment.into()), ..wire }
+                Self { decision: 1, assignment: Some(assignment.into()), ..wire }
             }
             Decision::Refuse(code, after) => {
                 let code = u32::from(code.row().number);
-                Self { ruling: 2, code, after_ms: ms(after), ..wire }
+                Self { decision: 2, code, retry_after_ms: ms(after), ..wire }
             }
-            Decision::GiveUp => Self { ruling: 3, ..wire },
-            Decision::Return => Self { ruling: 4, ..wire },
+            Decision::GiveUp => Self { decision: 3, ..wire },
+            Decision::Return => Self { decision: 4, ..wire },
         }
     }
 }
@@ -359,24 +359,24 @@
     type Error = Malformed;
 
     fn try_from(wire: Verdict) -> Result<Self, Malformed> {
-        let ruling = match wire.ruling {
+        let decision = match wire.decision {
             0 => Decision::Queued,
             1 => {
                 let assignment = wire.assignment;
-                let assignment =
-                    assignment.ok_or_else(|| Malformed("nothing is assigned".into()))?;
+                let assignment = assignment
+                    .ok_or_else(|| Malformed("the verdict lacks an assignment".into()))?;
                 Decision::Send(assignment.try_into()?)
             }
             2 => {
                 let named = |code: &&Code| u32::from(code.row().number) == wire.code;
                 let code = Code::ALL.iter().find(named);
                 let code = code.ok_or_else(|| unknown("code", wire.code))?;
-                Decision::Refuse(*code, span(wire.after_ms))
+                Decision::Refuse(*code, duration(wire.retry_after_ms))
             }
             3 => Decision::GiveUp,
             4 => Decision::Return,
             other => return Err(unknown("ruling", other)),
         };
-        Ok(Self { daemon: wire.daemon, request: Key(wire.request), ruling })
+        Ok(Self { daemon: wire.daemon, request: Key(wire.request), decision })
     }
 }
