--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -1,18 +1,19 @@
-//! The newest record of each key of the platform's topics, as read from the store or from peers.
+//! The newest record of each key of the platform's topics, read from the store or received from
+//! peers.
 //!
-//! A key's offset only grows, so a record that comes late, twice or from a peer that is behind
-//! changes nothing. That holds whichever way a record came, so peers stand in for the store while
-//! it can't be reached.
+//! A key's offset only grows, so a record that arrives late, twice or from a peer that is behind
+//! changes nothing. Because this holds for every source, peers can replace the store while it is
+//! unreachable.
 
 use crate::prelude::*;
 
-/// Records of keys without a value that are kept for peers, for each topic.
+/// Maximum number of tombstones (records of removed keys) kept for peers, per topic.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// The topics that daemons share.
+/// A topic of the platform's store that daemons share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// What operators publish.
+    /// Configuration and weights that operators publish.
     Operator,
     /// Registrations of backend servers.
     Servers,
@@ -24,7 +25,7 @@
     /// Every topic.
     pub const ALL: [Self; 3] = [Self::Operator, Self::Servers, Self::Routers];
 
-    /// The topic of this number on the wire between daemons.
+    /// Returns the topic with this number on the wire between daemons.
     pub fn from_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|topic| *topic as u32 == number)
     }
@@ -35,9 +36,9 @@
 pub struct Record {
     /// The key.
     pub key: String,
-    /// Its offset in the topic.
+    /// The record's offset in the topic.
     pub offset: u64,
-    /// Its value; `None` where the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Vec<u8>>,
 }
 
@@ -57,11 +58,11 @@
 #[derive(Debug, Default)]
 struct TopicState {
     records: BTreeMap<String, (u64, Option<Vec<u8>>)>,
-    /// The offset before which nothing is missing.
+    /// End of the contiguous range of known records, which starts at offset 0.
     end: u64,
-    /// The offset after the newest record that is known.
+    /// Offset after the newest known record.
     newest: u64,
-    /// The offset from which on removals are known too.
+    /// Offset from which tombstones are complete.
     tombstones_from: u64,
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl Catalog {
-    /// Takes a record; whether it is newer than what was known of its key.
+    /// Inserts a record; returns whether it is newer than the known record of its key.
     ///
     /// ```
     /// use cardamomvalve::fleet::{Catalog, Record, Topic};
@@ -85,7 +86,8 @@
         let state = self.topics.entry(topic).or_default();
         let is_new = match state.records.get(&record.key) {
             Some((offset, _)) => record.offset > *offset,
-            // A key that was in no list of what was left, and is told of late, was removed before it.
+            // An unknown key below this offset was removed before the snapshot, which did not list
+            // it.
             None => record.offset >= state.tombstones_from,
         };
         if !is_new {
@@ -96,9 +98,9 @@
         true
     }
 
-    /// The keys that had a value before offset `to` and are not listed, where `whole` lists all that have one
-    /// there: their removals, the last of which may lie right before it. Keys that came later may be missing
-    /// from the list, whose pages are no snapshot.
+    /// Returns removals of the keys that have a value before offset `to` and are not in `snapshot`.
+    /// The removals get the offset right before `to`, where the last of them may be. Keys added
+    /// later may be missing from the list, because its pages are not read atomically.
     pub fn removals(&self, topic: Topic, snapshot: &[Record], to: u64) -> Vec<Record> {
         let listed: BTreeSet<&str> = snapshot.iter().map(|record| record.key.as_str()).collect();
         let Some(state) = self.topics.get(&topic) else { return Vec::new() };
@@ -112,8 +114,8 @@
             .collect()
     }
 
-    /// Notes that everything that was left of a topic at offset `to` was taken: removals before it are in no
-    /// such list.
+    /// Records that a snapshot of a topic as of offset `to` was applied; it contains no tombstones
+    /// for earlier removals.
     pub fn mark_snapshot(&mut self, topic: Topic, to: u64) {
         let state = self.topics.entry(topic).or_default();
         if to > state.end {
@@ -127,8 +129,8 @@
         self.topics.get(&topic).is_none_or(|state| from >= state.tombstones_from)
     }
 
-    /// Notes that every record of a range was taken; whether no record before its end is missing now.
-    /// One that begins past what is known leaves a gap and changes nothing.
+    /// Records that every record of a range was applied; returns whether the range joins the known
+    /// records. A range that starts past them leaves a gap and changes nothing.
     ///
     /// ```
     /// use cardamomvalve::fleet::{Catalog, Topic};
@@ -145,7 +147,7 @@
         follows
     }
 
-    /// Whether no record is known that lies after others which are missing.
+    /// Whether no known record lies after a gap.
     pub fn is_contiguous(&self, topic: Topic) -> bool {
         self.topics.get(&topic).is_none_or(|state| state.newest <= state.end)
     }
@@ -155,7 +157,7 @@
         self.topics.get(&topic).map_or(0, |state| state.end)
     }
 
-    /// The newest records of all keys from offset `from`, in order.
+    /// Returns the newest records of all keys from offset `from`, in order.
     pub fn since(&self, topic: Topic, from: u64) -> Vec<Record> {
         let Some(state) = self.topics.get(&topic) else { return Vec::new() };
         let mut records: Vec<Record> = state
@@ -172,13 +174,13 @@
         records
     }
 
-    /// Forgets the oldest records of removed keys beyond a bound.
+    /// Drops the oldest tombstones beyond the maximum.
     pub fn trim(&mut self) {
         for state in self.topics.values_mut() {
             let mut tombstones: Vec<u64> = state
                 .records
                 .values()
-                // Past a gap it is not known what else was removed.
+                // Past a gap, other removals may be missing.
                 .filter(|(offset, value)| value.is_none() && *offset < state.end)
                 .map(|(offset, _)| *offset)
                 .collect();
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -1,4 +1,5 @@
-//! Peers: their work, the weights they saw, and records that the store does not give this daemon.
+//! Exchange of state with peers: load, weights seen on engines, and records that the store did not
+//! deliver.
 
 use std::net::SocketAddr;
 
@@ -7,36 +8,38 @@
 use super::{Batch, Busy, Digest, Effect, Frame, Life, Node, Topic};
 use crate::prelude::*;
 
-/// Peers that a daemon tells of itself at least, the schedulers included: records and ages spread also
-/// where all of them are gone.
+/// Minimum number of peers that receive a daemon's digest, including the schedulers. Records and
+/// read ages then spread even if all schedulers are gone.
 const MIN_FANOUT: usize = 8;
-/// Peers for each of which daemons that do not schedule wait one interval longer between two digests,
-/// so that the schedulers take as many a second however many daemons there are.
+/// Number of peers per additional digest interval of a daemon that does not schedule. Bounds the
+/// digests that schedulers receive per second in a large fleet.
 const PEERS_PER_INTERVAL: usize = 48;
-/// Intervals between two digests at most.
+/// Maximum multiple of the digest interval.
 const MAX_INTERVALS: usize = 4;
-/// Intervals between two digests of a scheduler to daemons that do not schedule: what they go by is that
-/// it is there, and what it has read.
+/// Multiple of the digest interval between a scheduler's digests to daemons that do not schedule.
+/// They only need its liveness and what it has read.
 const ANNOUNCEMENT_INTERVALS: u32 = 2;
-/// Time between two digests to a peer that was not heard of.
+/// Interval between digests to a peer that is silent.
 const SILENT_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for which the store may be behind a peer before the peer is asked.
+/// Time for the store to deliver records that a peer already has, before the peer is asked for
+/// them.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(250);
-/// Time for which weights that were seen are told.
+/// Time for which weights seen on an engine are included in digests.
 const SEEN_WEIGHTS_LIFETIME: Duration = Duration::from_millis(2_500);
-/// Time between two digests that tell of hot parts: work is measured over some ten seconds.
+/// Interval between digests that include hot parts; work is averaged over about ten seconds.
 const HEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which what a peer told of hot parts counts.
+/// Time for which a peer's list of hot parts is used.
 const HEAT_LIFETIME: Duration = Duration::from_secs(15);
-/// Parts that a digest tells of: more than can be hot at a time.
+/// Maximum number of parts in a digest; more than can be hot at a time.
 const MAX_HOT_PARTS: usize = 24;
-/// Peers that are told of new records at once by a daemon that does not schedule.
+/// Number of peers to which a daemon that does not schedule forwards new records.
 const FORWARD_FANOUT: usize = 3;
-/// Daemons that are assumed to share the retry budget until their registrations are read.
+/// Number of daemons assumed to share the retry budget until their registrations are read.
 const ASSUMED_DAEMONS: usize = 16;
 
 impl Node {
-    /// Takes over that another daemon registered, on a VM with so many cores where it says so.
+    /// Adds or updates a peer that registered or sent a digest; `cores` is 0 if its VM's size is
+    /// unknown.
     pub(super) fn register_peer(&mut self, now: Time, id: String, address: SocketAddr, cores: f32) {
         if id == self.identity.id {
             return;
@@ -52,47 +55,48 @@
         }
     }
 
-    /// Peers that were heard of lately.
+    /// Peers with a recent digest.
     fn live_peers(&self, now: Time) -> impl Iterator<Item = (&String, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_fresh(now))
     }
 
-    /// Daemons that share the retry budget.
+    /// Number of daemons that share the retry budget.
     pub(super) fn daemon_count(&self) -> usize {
         if self.known.contains(&Topic::Routers) { self.peers.len() + 1 } else { ASSUMED_DAEMONS }
     }
 
-    /// Peers that were heard of, and when.
+    /// Peers that sent a digest, with the time of the last one.
     pub(super) fn heard_peers(&self) -> impl Iterator<Item = (&str, Time)> {
         self.peers.iter().filter_map(|(id, peer)| Some((id.as_str(), peer.heard_at?)))
     }
 
-    /// How many peers were heard of lately.
+    /// Number of peers with a recent digest.
     pub(super) fn fresh_peer_count(&self, now: Time) -> usize {
         self.live_peers(now).count()
     }
 
-    /// Where the peers listen that were heard of lately.
+    /// Addresses of the peers with a recent digest.
     pub(super) fn fresh_peer_addresses(&self, now: Time) -> Vec<SocketAddr> {
         self.live_peers(now).map(|(_, peer)| peer.address).collect()
     }
 
-    /// Where a peer listens.
+    /// Address of a peer.
     pub(super) fn peer_address(&self, daemon: &str) -> Option<SocketAddr> {
         self.peers.get(daemon).map(|peer| peer.address)
     }
 
-    /// Sends digests that are due, and asks for records that peers know of and this daemon doesn't.
+    /// Sends due digests, and requests records that peers have and this daemon lacks.
     pub(super) fn gossip(&mut self, now: Time) {
         if now >= self.next_digest {
-            // Peers that have fallen silent no longer count.
+            // Load of peers that have gone silent no longer counts.
             self.others_are_stale = true;
             self.send_digests(now);
         }
         self.request_missing_records(now);
     }
 
-    /// Sends digests: a scheduler's to all, any other daemon's to the schedulers and a few others.
+    /// Sends a digest: a scheduler to all peers, any other daemon to the schedulers and a few
+    /// others.
     pub(super) fn send_digests(&mut self, now: Time) {
         self.rollout.seen.retain(|(.., at)| now < *at + SEEN_WEIGHTS_LIFETIME);
         let schedules = self.is_scheduler(now);
@@ -134,14 +138,15 @@
         }
     }
 
-    /// Time between two digests of a daemon that does not schedule.
+    /// Interval between digests of a daemon that does not schedule.
     fn digest_interval(&self) -> Duration {
         let intervals = self.peers.len().div_ceil(PEERS_PER_INTERVAL).clamp(1, MAX_INTERVALS);
         DIGEST_INTERVAL * u32::try_from(intervals).unwrap_or(1)
     }
 
-    /// The peers that a digest goes to now, the schedulers first: of the others all that have not been
-    /// told for some time where this daemon schedules or stops, or else those that have waited longest.
+    /// Returns the peers to send a digest to now: schedulers and others. If this daemon schedules
+    /// or is draining, the others are all peers whose interval has passed; otherwise those that
+    /// have waited longest.
     fn due_peers(&self, now: Time, schedules: bool) -> (Vec<String>, Vec<String>) {
         let (mut schedulers, mut others) = (Vec::new(), Vec::new());
         let ranking: BTreeSet<&String> = self.other_schedulers().map(|(id, _)| id).collect();
@@ -152,7 +157,7 @@
                 (true, false) => DIGEST_INTERVAL * ANNOUNCEMENT_INTERVALS,
                 (false, false) => SILENT_INTERVAL,
             };
-            // Ticks come a little early or late.
+            // Allows for ticks that are a little early.
             if peer.sent_at.is_some_and(|sent| now + DIGEST_INTERVAL / 5 < sent + interval) {
                 continue;
             }
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Takes a frame from a peer.
+    /// Handles a frame from a peer.
     pub(super) fn handle_frame(&mut self, now: Time, frame: Frame) {
         match frame {
             Frame::Digest(digest) => self.handle_digest(now, *digest),
@@ -219,15 +224,15 @@
         }
     }
 
-    /// Answers a peer that wants the records of a topic from an offset.
+    /// Sends a peer the records of a topic from an offset.
     fn send_records(&mut self, daemon: &str, topic: Topic, from: u64) {
         let Some(peer) = self.peers.get(daemon) else { return };
         if !self.known.contains(&topic) {
             return;
         }
         let to = self.catalog.end(topic);
-        // A daemon that read what was left knows of no removals before: with the records from then on alone,
-        // the peer would keep what is gone, and take what it missed for read.
+        // A daemon that started from a snapshot lacks earlier removals. If the peer received only
+        // the records since, it would keep removed keys and consider the gap filled.
         let frame = if self.catalog.has_tombstones(topic, from) {
             Frame::Records(Batch { topic, from, to, records: self.catalog.since(topic, from) })
         } else {
@@ -236,7 +241,7 @@
         self.effects.push(Effect::Send(vec![peer.address], frame));
     }
 
-    /// Takes over what a peer tells of a topic, which may be all that was missing of it.
+    /// Applies records of a topic from a peer, which may complete the topic.
     fn apply_from_peer(&mut self, topic: Topic, take: impl FnOnce(&mut Self)) {
         let was_known = self.known.contains(&topic);
         take(self);
@@ -247,8 +252,9 @@
         }
     }
 
-    /// Tells peers of new records: the scheduler of the topic all that it hears of, any other daemon a
-    /// few, who tell others. Who is missed asks by the digests.
+    /// Forwards new records to peers: the topic's scheduler to all that it hears from, any other
+    /// daemon to a few, which forward them in turn. A peer that is missed notices from digests and
+    /// asks.
     pub(super) fn forward_records(&mut self, now: Time, batch: Batch) {
         let mut addresses = self.fresh_peer_addresses(now);
         let schedules = self.is_scheduler(now);
@@ -273,7 +279,8 @@
         self.expected.hear(now, &digest.refused);
         self.hear_blocked(now, &digest.blocked);
         self.hear_used(now, &digest);
-        // What others moved is taken off what is free by now, not off what was free at the last send.
+        // Refill first, so that the peer's transfers are deducted from the current budget and not
+        // from that of the last send.
         self.refill_link(now);
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
             let known =
@@ -303,8 +310,8 @@
         self.others_are_stale = true;
     }
 
-    /// Takes over that a peer which knew of records up to an end had missed nothing that operators published for some
-    /// time, where this daemon lacks nothing that the peer has.
+    /// Applies a peer's report of when it last had every operator record, if this daemon has all
+    /// records that the peer has.
     fn apply_peer_completeness(
         &mut self,
         now: Time,
@@ -312,14 +319,14 @@
         delay: Duration,
     ) {
         let ahead = end.is_none_or(|end| end > self.catalog.end(Topic::Operator));
-        // What was before this daemon's clock began tells nothing of the time since.
+        // A time before this daemon's clock started says nothing about the time since.
         let at = age.and_then(|age| now.checked_sub(age.saturating_add(delay)));
         if let Some(at) = at.filter(|_| !ahead && self.has_all_operator_records()) {
             self.missed_nothing(at);
         }
     }
 
-    /// Takes over what a peer has at one server now.
+    /// Sets a peer's current load at one server.
     pub(super) fn set_peer_load(&mut self, daemon: &str, life: Life, busy: Busy) {
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
@@ -328,14 +335,14 @@
         self.others_are_stale = true;
     }
 
-    /// Milliseconds of work a second that peers have for a part, as far as they told of it.
+    /// Milliseconds of work per second for a part, summed over the peers that reported it recently.
     pub(super) fn peer_heat(&self, now: Time, part: u64) -> f64 {
         let told = self.peers.values().filter(|peer| now < peer.heat_at + HEAT_LIFETIME);
         told.filter_map(|peer| peer.heat.get(&part)).map(|work_ms| f64::from(*work_ms)).sum()
     }
 
-    /// Adds up what peers have at each server, where they told something new: many digests come between
-    /// two requests.
+    /// Sums the load of peers at each server, if any of it changed: many digests arrive between two
+    /// requests.
     pub(super) fn sum_peer_load(&mut self, now: Time) {
         if !std::mem::take(&mut self.others_are_stale) {
             return;
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -1,4 +1,4 @@
-//! One other daemon: what it last said, and whether it is there.
+//! State of one other daemon: its last digest and its liveness.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 use super::{Digest, Topic};
 use crate::prelude::*;
 
-/// Time between two digests.
+/// Interval between digests.
 pub(super) const DIGEST_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after which a peer's digest no longer counts, beyond the time to its second next one.
+/// Time by which a peer's second next digest may be late before its state counts as stale.
 const DIGEST_GRACE: Duration = Duration::from_millis(750);
 
-/// By how many milliseconds this daemon's clock was ahead of a peer's as its digests came.
+/// Offset of this daemon's clock to a peer's, in milliseconds, measured when its digests arrive.
 #[derive(Debug, Clone, Copy)]
 struct ClockOffset {
     incarnation: u64,
@@ -19,29 +19,29 @@
     last_ms: i64,
 }
 
-/// What is known of a peer.
+/// State of a peer.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// Where it listens.
+    /// Address for frames.
     pub(super) address: SocketAddr,
-    /// Its place among those that may schedule, once its VM's size is known.
+    /// Its rank among the daemons that may schedule; `None` until its VM's size is known.
     pub(super) standing: Option<Standing>,
     pub(super) digest: Option<Digest>,
     pub(super) heard_at: Option<Time>,
-    /// Since when it ranks among the schedulers, heard of or not.
+    /// Since when it has ranked among the schedulers, whether or not it sent a digest.
     ranked_since: Option<Time>,
-    /// Until when it is submitted nothing.
+    /// Time until which no requests are submitted to it.
     avoid_until: Time,
     /// When a frame was last sent to it.
     pub(super) sent_at: Option<Time>,
-    /// Its work by part, and when it told of it.
+    /// Its work per second by part, and when it reported that.
     pub(super) heat: BTreeMap<u64, f32>,
     pub(super) heat_at: Time,
     clock_offset: Option<ClockOffset>,
 }
 
 impl Peer {
-    /// A peer of which only this is known.
+    /// Creates a peer that has not sent a digest yet.
     pub(super) fn new(address: SocketAddr, standing: Option<Standing>) -> Self {
         Self {
             address,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Peers that may be at these addresses, under the address until their ids are known.
+    /// Returns peers for the configured addresses, keyed by address until their ids are known.
     pub(super) fn from_seeds(seeds: &[SocketAddr], own: SocketAddr) -> BTreeMap<String, Self> {
         let others = seeds.iter().filter(|seed| **seed != own);
         others.map(|seed| (seed.to_string(), Self::new(*seed, None))).collect()
     }
 
-    /// Notes when a digest came.
+    /// Updates the clock offset from the arrival of a digest.
     pub(super) fn record_digest(&mut self, now: Time, digest: &Digest) {
         let millis = |time: Time| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
         let last_ms = millis(now).saturating_sub(millis(digest.sent));
@@ -72,33 +72,34 @@
         self.clock_offset = Some(ClockOffset { incarnation: digest.incarnation, min_ms, last_ms });
     }
 
-    /// How long its last digest was on its way beyond the quickest one: ages that waited in a connection, for a daemon
-    /// that was frozen or a link that was cut, would be too low.
+    /// Delay of its last digest relative to the fastest one. Ages in a digest that waited in a
+    /// connection, because a daemon was frozen or a link was cut, would be too low without it.
     pub(super) fn digest_delay(&self) -> Duration {
         let delay = self.clock_offset.map_or(0, |offset| offset.last_ms.abs_diff(offset.min_ms));
         Duration::from_millis(delay)
     }
 
-    /// Whether it was heard of lately.
+    /// Whether its last digest is recent.
     pub(super) fn is_fresh(&self, now: Time) -> bool {
         let interval = self.digest.as_ref().map_or(DIGEST_INTERVAL, |digest| digest.interval);
         self.heard_at.is_some_and(|heard| now < heard + interval * 2 + DIGEST_GRACE)
     }
 
-    /// Whether it said that it is stopping.
+    /// Whether its last digest says that it is draining.
     pub(super) fn is_draining(&self) -> bool {
         self.digest.as_ref().is_some_and(|digest| digest.draining)
     }
 
-    /// Whether it was waited for in vain since it ranks among the schedulers, or is stopping.
+    /// Whether it is draining, or has sent no digest for `after` since it began to rank among the
+    /// schedulers.
     pub(super) fn is_silent_or_draining(&self, now: Time, after: Duration) -> bool {
         let is_overdue =
             |since: Time| now >= self.heard_at.map_or(since, |heard| heard.max(since)) + after;
         self.is_draining() || self.ranked_since.is_some_and(is_overdue)
     }
 
-    /// Notes whether it ranks among the schedulers; one that was waited for in vain is waited for again
-    /// only once it is heard of.
+    /// Updates whether it ranks among the schedulers. A peer that went silent stays silent until
+    /// its next digest, even if it drops out of the ranking in between.
     pub(super) fn update_rank(&mut self, now: Time, ranks: bool, after: Duration) {
         if ranks {
             self.ranked_since.get_or_insert(now);
@@ -116,7 +117,8 @@
         self.avoid_until = until;
     }
 
-    /// How old what it has read of a topic in the platform's store is, by its last word.
+    /// Age of the peer's last read of a topic from the platform's store, according to its last
+    /// digest.
     pub(super) fn read_age(&self, now: Time, topic: Topic) -> Option<Duration> {
         let age = *self.digest.as_ref()?.read_ages.get(topic as usize)?;
         Some(now.saturating_sub(self.heard_at?) + age?)
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's store, and what they change.
+//! Applies records of the platform's store to the daemon's state.
 
 use super::life::Known;
 use super::request::{Phase, Request};
@@ -8,11 +8,13 @@
 use crate::prelude::*;
 use crate::route::Table;
 
-/// After the store is back, registrations that lapsed meanwhile have this long to return.
+/// Time for registrations that lapsed while the store was down to return, from when reads last
+/// failed.
 const LAPSED_RETURN_TIME: Duration = Duration::from_millis(2_200);
-/// Unreadable records that are remembered, so that each is told of once.
+/// Maximum number of unreadable keys tracked, so that each is logged once.
 const MAX_UNREADABLE_KEYS: usize = 1_024;
-/// Records that are told to peers at once; a peer asks for more when it sees that it is behind.
+/// Maximum number of new records forwarded to peers at once; a peer that falls behind asks for
+/// more.
 const MAX_FORWARDED_RECORDS: usize = 64;
 
 impl Node {
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Whether nothing is known to have been published by operators that this daemon lacks.
+    /// Whether this daemon has every operator record that it knows to exist.
     pub(super) fn has_all_operator_records(&self) -> bool {
         let topic = Topic::Operator;
         self.known.contains(&topic)
@@ -39,7 +41,7 @@
             && !self.behind.contains_key(&topic)
     }
 
-    /// Takes everything that is left of a topic: what is not in it is gone.
+    /// Applies a snapshot of a topic; keys that are not in it were removed.
     pub(super) fn apply_snapshot(&mut self, now: Time, batch: Batch) {
         let Batch { topic, to, .. } = batch;
         let removals = self.catalog.removals(topic, &batch.records, to);
@@ -49,11 +51,12 @@
         self.known.insert(topic);
     }
 
-    /// Takes a batch from the store or from a peer, and tells some peers of what was new in it.
+    /// Applies a batch from the store or from a peer, and optionally forwards it to some peers if
+    /// any record was new.
     pub(super) fn apply_batch(&mut self, now: Time, batch: Batch, forward: bool) {
         let any_new = self.apply_records(now, batch.topic, &batch.records);
-        // A peer tells of new records one by one: with a gap before them they are a part of the topic,
-        // and what is read next may be older than they are.
+        // Peers forward new records one by one. After a gap, such a record does not mean the topic
+        // is known, and the next read may return older records.
         if self.catalog.advance(batch.topic, batch.from, batch.to) {
             self.known.insert(batch.topic);
         }
@@ -74,7 +77,7 @@
         self.event(Event::LogDown, detail);
     }
 
-    /// Notes that what is tracked was read.
+    /// Records that a topic or the lease was read.
     pub(super) fn mark_readable(&mut self, now: Time, tracked: Tracked) {
         if let Some(since) = self.unread_since.remove(&tracked) {
             let detail =
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Takes records in; whether any was new.
+    /// Applies records; returns whether any was new.
     fn apply_records(&mut self, now: Time, topic: Topic, records: &[Record]) -> bool {
         let mut any_new = false;
         for record in records {
@@ -106,9 +109,9 @@
         any_new
     }
 
-    /// Takes over a record that can't be read: it names no server, also where its key once did; the
-    /// last configuration and the last weights that were named hold. Told of once for each key and
-    /// reason, since another writer may repeat it as often as servers register.
+    /// Handles a record that can't be decoded. An unreadable registration removes the server of its
+    /// key; an unreadable configuration or weights record leaves the last one in force. Logged once
+    /// per key and reason, because another writer may repeat it as often as servers register.
     fn skip_unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
         self.counts.unreadable += 1;
         if topic == Topic::Servers
@@ -158,8 +161,8 @@
         self.effects.push(Effect::Table(table));
     }
 
-    /// Takes over a registration: of a server that is known, of a new one, or of one that has started
-    /// again. One from a life that has ended changes nothing.
+    /// Applies a registration of a known server, a new one, or one that has restarted. A
+    /// registration from an ended incarnation is ignored.
     pub(super) fn register(&mut self, now: Time, entry: Entry) {
         match self.lives.find(&entry.life) {
             Known::Ended => {}
@@ -191,12 +194,13 @@
         let key = self.servers.insert(Server::new(entry));
         self.lives.begin(&life, key);
         self.pools.entry(pool).or_default().push(key);
-        // What peers told of this life before it was known counts from now on.
+        // What peers reported of this incarnation before it was known counts from now on.
         self.others_are_stale = true;
     }
 
-    /// Ends what was believed of a server's former life. What it ran there has ended with it, so that
-    /// which may be repeated is sent again at once instead of waiting for silence.
+    /// Replaces the state of a restarted server. The requests that it ran ended with the old
+    /// incarnation, so those that may be repeated are sent again at once instead of after a
+    /// timeout.
     fn replace_restarted(&mut self, now: Time, former: server::Key, entry: Entry) {
         let address = self.servers.get(former).map(|server| server.entry.address);
         let detail = Detail::of("server", entry.life.id.as_str()).and("born", entry.life.born);
@@ -220,8 +224,8 @@
         }
     }
 
-    /// Takes a server out whose registration is gone; one that may have lapsed only because the
-    /// store was away is kept until it has had time to return.
+    /// Removes a server whose registration is gone. If the registration may have lapsed only
+    /// because the store was down, the server is kept until it has had time to return.
     pub(super) fn unregister(&mut self, now: Time, id: &str) {
         let Some(key) = self.lives.registered(id) else { return };
         if self.down_at.is_some_and(|at| now < at + LAPSED_RETURN_TIME) {
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -1,4 +1,4 @@
-//! How sent requests fare at their servers, and what that tells of the servers.
+//! Handles reports on sent requests and what they show about the servers.
 
 use super::request::Phase;
 use super::scheduling::Stage;
--- a/src/fleet/residency/held.rs
+++ b/src/fleet/residency/held.rs
@@ -1,100 +1,103 @@
-//! The parts that one engine, or the KV store, keeps.
+//! The parts that one engine or the KV store holds.
 
 use super::Update;
 use crate::fleet::prompt::keyed;
 use crate::prelude::*;
 
-/// Tokens from which a part is told to peers: to move fewer takes longer than to read them (5 ms to
-/// set a transfer up, some 50 tokens read in a millisecond).
+/// Minimum tokens of a part that is reported to peers. Transferring fewer takes longer than
+/// computing them: a transfer takes 5 ms to set up, and an engine reads about 50 tokens in a
+/// millisecond.
 const MIN_REPORTED_TOKENS: u32 = 512;
-/// Tokens by which a part may be short and still count as held: engines keep whole blocks only.
+/// Tokens that may be missing from a part that still counts as held: engines cache whole blocks
+/// only.
 const BLOCK_TOKENS: u32 = 64;
-/// Time for which events count as current: two long waits for them and a lost frame.
+/// Maximum age of the newest events. Covers two long polls and a lost frame.
 const EVENTS_MAX_AGE: Duration = Duration::from_millis(2_500);
-/// Time from a request's start within which the parts that it reads show among the events: the largest
-/// prompts take a second, and events come late.
+/// Time for which a part that was sent to an engine counts as held although its events do not show
+/// it yet. The largest prompts take a second to read, and events arrive late.
 const SENT_LIFETIME_WITH_EVENTS: Duration = Duration::from_millis(1_500);
-/// Time for which a part that was sent to an engine is believed to be held, while its events can't be
-/// read: a busy engine reads its whole memory's worth of prompts in about this time.
+/// Time for which a part that was sent to an engine counts as held while its events can't be read.
+/// A busy engine reads as many tokens as its memory holds in about this time.
 const SENT_LIFETIME_WITHOUT_EVENTS: Duration = Duration::from_secs(4);
-/// Parts that are remembered of one keeper.
+/// Maximum number of parts stored per holder.
 const MAX_PARTS: usize = 65_536;
-/// Parts sent that are remembered of one keeper.
+/// Maximum number of sent parts stored per holder.
 const MAX_SENT_PARTS: usize = 512;
 
-/// One change of what is kept.
+/// A change of how much of a part a holder caches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// What the part is kept under.
+    /// Cache salt of the part.
     pub salt: String,
     /// Hash of the part's id.
     pub part: u64,
-    /// Tokens of it that are kept now.
+    /// Tokens of the part that are cached after the change.
     pub tokens: u32,
 }
 
-/// A read of events.
+/// The result of one read of a holder's cache events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventBatch {
-    /// Changes at each start of the keeper.
+    /// Identifies the holder's run; changes whenever it starts.
     pub epoch: u64,
-    /// The number from which to go on.
+    /// Number of the first event of the next read.
     pub next: u64,
-    /// Whether events before these were lost.
+    /// Whether events before these are missing.
     pub has_gap: bool,
     /// The events, in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// What a read of events, or a peer's word, means.
+/// The outcome of applying events or a peer's update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(in crate::fleet) enum Outcome {
-    /// It is taken over; these are the changes worth telling, and whether they are everything.
+    /// Applied. `changes` are those to report to peers; `full` marks a complete list of parts.
     Applied { full: bool, changes: Vec<(u64, u32)> },
-    /// Something before it is missing; it has to be asked for.
+    /// Not applied: earlier events are missing and have to be requested.
     Gap,
 }
 
-/// The parts that one engine or the KV store keeps.
+/// The parts that one engine or the KV store holds, as far as this daemon knows.
 #[derive(Debug, Clone, Default)]
 pub(in crate::fleet) struct Residency {
-    /// Tokens by part, as events tell.
+    /// Tokens by part, according to events.
     parts: BTreeMap<u64, u32>,
-    /// When this daemon last sent a prompt with a part there.
+    /// When a prompt with the part was last sent to the holder.
     sent: BTreeMap<u64, Time>,
     epoch: Option<u64>,
-    /// The number of the event from which to read on.
+    /// Number of the first event of the next read.
     next: u64,
-    /// When events were last heard.
+    /// When events or an update last arrived.
     updated_at: Option<Time>,
-    /// Who told of them last, and how often it had by then.
+    /// The daemon that sent the last update, and that update's sequence number.
     update_source: Option<(String, u64)>,
-    /// How often this daemon told of them.
+    /// Number of updates that this daemon has sent.
     updates_sent: u64,
 }
 
 impl Residency {
-    /// The number of the event from which to read on.
+    /// Number of the first event to read next.
     pub(in crate::fleet) fn next_event(&self) -> u64 {
         self.next
     }
 
-    /// Whether events tell what is held now.
+    /// Whether the events are recent enough to rely on.
     pub(in crate::fleet) fn is_current(&self, now: Time) -> bool {
         self.updated_at.is_some_and(|updated_at| now < updated_at + EVENTS_MAX_AGE)
     }
 
-    /// How old the newest events are.
+    /// Time since the last events or update; `None` if none arrived or the events became
+    /// unreadable.
     pub(in crate::fleet) fn age(&self, now: Time) -> Option<Duration> {
         self.updated_at.map(|updated_at| now.saturating_sub(updated_at))
     }
 
-    /// How many parts are believed to be held.
+    /// Number of parts that events show as held.
     pub(in crate::fleet) fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// Notes that a prompt with this part was sent there.
+    /// Records that a prompt with this part was sent to the holder.
     pub(in crate::fleet) fn note_sent(&mut self, now: Time, part: u64) {
         self.sent.insert(part, now);
         if self.sent.len() > MAX_SENT_PARTS
@@ -104,18 +107,18 @@
         }
     }
 
-    /// Ends what was believed on account of what was sent: it was dropped.
+    /// Forgets which parts were sent, after the holder dropped them.
     pub(in crate::fleet) fn forget_sent(&mut self) {
         self.sent.clear();
     }
 
-    /// Notes that its events can't be read.
+    /// Records that the holder's events can't be read.
     pub(in crate::fleet) fn mark_unreadable(&mut self) {
         self.updated_at = None;
     }
 
-    /// How many of a part's `tokens` are believed to be held by the time that one more request with it
-    /// is begun there.
+    /// How many of a part's `tokens` will be held when another request with the part starts there.
+    /// Includes parts that were sent recently and are still being computed.
     pub(in crate::fleet) fn expected_tokens(&self, now: Time, part: u64, tokens: u32) -> u32 {
         let lifetime = if self.is_current(now) {
             SENT_LIFETIME_WITH_EVENTS
@@ -128,8 +131,8 @@
         self.confirmed_tokens(now, part, tokens)
     }
 
-    /// How many of a part's `tokens` events show, so that others can fetch them now: what is still being
-    /// read is not found there.
+    /// How many of a part's `tokens` are held according to events, and so can be fetched now.
+    /// Excludes parts that are still being computed.
     pub(in crate::fleet) fn confirmed_tokens(&self, now: Time, part: u64, tokens: u32) -> u32 {
         if !self.is_current(now) {
             return 0;
@@ -138,12 +141,12 @@
         if confirmed.saturating_add(BLOCK_TOKENS) >= tokens { tokens } else { confirmed }
     }
 
-    /// Takes over events that this daemon read.
+    /// Applies events that this daemon read.
     pub(in crate::fleet) fn apply_events(&mut self, now: Time, batch: &EventBatch) -> Outcome {
         let known = self.epoch == Some(batch.epoch);
         if !known && self.next > 0 {
-            // The keeper has started again, and what it told before the number asked for is missing:
-            // it is read from the start, and told whole.
+            // The holder has restarted, so its events before the requested number are missing. Read
+            // them from the start and report all parts.
             (self.epoch, self.next) = (None, 0);
             self.parts.clear();
             return Outcome::Gap;
@@ -164,7 +167,7 @@
         Outcome::Applied { full, changes: changes.into_iter().collect() }
     }
 
-    /// Takes over what a peer tells.
+    /// Applies an update from a peer.
     pub(in crate::fleet) fn apply_update(&mut self, now: Time, update: &Update) -> Outcome {
         let follows = self.update_source.as_ref().is_some_and(|(daemon, sequence)| {
             *daemon == update.daemon && sequence + 1 == update.sequence
@@ -175,7 +178,7 @@
         if update.full {
             self.parts.clear();
         }
-        // What this daemon read itself, if it ever did, is no longer what it goes by.
+        // This daemon's own position in the events no longer applies.
         (self.epoch, self.next) = (None, 0);
         for (part, tokens) in &update.changes {
             self.set_tokens(*part, *tokens);
@@ -185,21 +188,21 @@
         Outcome::Applied { full: update.full, changes: Vec::new() }
     }
 
-    /// The number of what this daemon tells next.
+    /// Returns the sequence number of the next update.
     pub(in crate::fleet) fn next_seq(&mut self) -> u64 {
         self.updates_sent += 1;
         self.updates_sent
     }
 
-    /// Everything worth telling, for a peer that missed something, and how often was told so far;
-    /// nothing where this daemon does not read the events.
+    /// All parts that are large enough to report, with the sequence number of the last update, for
+    /// a peer that missed one. `None` if this daemon does not read the events.
     pub(in crate::fleet) fn full_update(&self) -> Option<(u64, Vec<(u64, u32)>)> {
         self.epoch?;
         let reported = self.parts.iter().filter(|(_, tokens)| **tokens >= MIN_REPORTED_TOKENS);
         Some((self.updates_sent, reported.map(|(part, tokens)| (*part, *tokens)).collect()))
     }
 
-    /// Notes how much of a part is held; how much was.
+    /// Sets how much of a part is held and returns the previous value.
     fn set_tokens(&mut self, part: u64, tokens: u32) -> u32 {
         let before = match tokens {
             0 => self.parts.remove(&part),
--- a/src/fleet/residency/mod.rs
+++ b/src/fleet/residency/mod.rs
@@ -1,10 +1,10 @@
-//! What engines and the KV store hold of the prompts that requests share.
+//! Tracks which shared prompt parts engines and the KV store hold.
 //!
-//! Each engine, and the KV store, tells by numbered events what it keeps. One daemon reads the events
-//! of each and tells its peers what concerns parts that are worth a transfer ([`Update`]); another takes
-//! over when it falls silent. Beliefs are kept by what a part is cached under ([`super::prompt::keyed`]),
-//! so that other weights' or another workspace's memory is never mistaken for a prompt's own, and they
-//! end with the life of the server that they are about.
+//! Each engine and the KV store publish numbered events about their caches. One daemon reads the
+//! events of each holder and sends its peers updates ([`Update`]) for parts that are large enough
+//! to transfer; if it goes silent, another daemon takes over. Entries are keyed by cache salt
+//! ([`super::prompt::keyed`]), so cached parts of other weights or another workspace never match,
+//! and are dropped when their server's incarnation ends.
 
 mod held;
 mod reading;
@@ -22,7 +22,7 @@
 
 use super::{Life, server};
 
-/// What keeps parts, as this daemon knows it.
+/// A holder of cached parts, by this daemon's own key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Location {
     /// An engine.
@@ -31,26 +31,26 @@
     Store,
 }
 
-/// What keeps parts, as daemons name it to each other.
+/// A holder of cached parts, as daemons identify it to each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Holder {
-    /// An engine in one of its lives.
+    /// An engine, in one incarnation.
     Engine(Life),
     /// The KV store at this address.
     Store(SocketAddr),
 }
 
-/// What the reader of events tells its peers.
+/// An update on a holder's parts, which the daemon that reads its events sends to peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Update {
     /// The daemon that reads the events.
     pub daemon: String,
-    /// Whose events these are.
+    /// The holder that the events came from.
     pub holder: Holder,
-    /// Counts what this daemon told of this keeper, so that a peer sees when it missed something.
+    /// Counts the updates this daemon has sent for the holder, so that a peer detects a missed one.
     pub sequence: u64,
-    /// Whether these are all parts, so that what was believed before ends.
+    /// Whether `changes` lists all parts and replaces earlier state.
     pub full: bool,
-    /// Parts by what they are kept under, with the tokens that are kept now.
+    /// Parts by salted hash, with the tokens now cached.
     pub changes: Vec<(u64, u32)>,
 }
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -1,7 +1,8 @@
-//! Who reads the events of what keeps parts, and how the schedulers hear of them.
+//! Chooses which daemon reads each holder's cache events and shares the results with the
+//! schedulers.
 //!
-//! An engine bears a few callers of its events only, and a read costs both sides: so the scheduler of a
-//! pool reads its engines' events, and tells the other schedulers.
+//! An engine supports only a few readers of its events, and each read costs both sides. So the
+//! scheduler of a pool reads its engines' events and sends updates to the other schedulers.
 
 use std::net::SocketAddr;
 
@@ -10,38 +11,39 @@
 use crate::fleet::{Effect, Frame, Node};
 use crate::prelude::*;
 
-/// Time between two reads of one keeper's events, for each keeper that is read: one daemon reads them
-/// all, some 120 a second at most.
+/// Interval between reads of one holder's events, per holder. One daemon may read all of them,
+/// which this limits to about 120 reads a second.
 const READ_INTERVAL_PER_HOLDER: Duration = Duration::from_millis(8);
-/// Least time between two reads.
+/// Minimum interval between reads of one holder.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
-/// Most time between two reads: parts are read and dropped within some seconds.
+/// Maximum interval between reads of one holder; parts are computed and evicted within seconds.
 const MAX_READ_INTERVAL: Duration = Duration::from_millis(800);
-/// Time after a read that failed.
+/// Delay after a failed read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Time between two looks at who reads what.
+/// Interval between checks of whether this daemon should read a holder's events.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// Time after which a read that has not ended counts as failed: the longest wait for events, and the
-/// time for their answer.
+/// Time after which an unfinished read counts as failed: the longest long poll plus the time for
+/// its response.
 const READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time without changes after which peers are told so, since they count on hearing.
+/// Time without changes after which an empty update is sent, so that peers still consider their
+/// data current.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
-/// Time between two questions to a peer for all parts.
+/// Minimum interval between requests to peers for all parts of a holder.
 const FULL_UPDATE_REQUEST_INTERVAL: Duration = Duration::from_millis(600);
 
-/// When the events of one keeper are read and told.
+/// Timing of the reads and updates for one holder.
 #[derive(Debug, Clone, Copy, Default)]
 pub(in crate::fleet) struct EventPoll {
-    /// When the read under way began.
+    /// When the read in progress started.
     started_at: Option<Time>,
     due_at: Time,
     update_sent_at: Time,
-    /// When a peer may next be asked for all parts.
+    /// Earliest time at which a peer may be asked for all parts again.
     next_request_at: Time,
 }
 
 impl Node {
-    /// Reads the events that this daemon is to read and that are due.
+    /// Starts the event reads that are due on this daemon.
     pub(in crate::fleet) fn read_events(&mut self, now: Time) {
         let locations = self.servers.keys().map(Location::Engine).chain([Location::Store]);
         let locations: Vec<Location> = locations.collect();
@@ -67,7 +69,7 @@
         self.effects.push(Effect::ReadEvents { place: location, address, since });
     }
 
-    /// Takes over events that were read; `None` where they could not be.
+    /// Handles the result of an event read; `None` if the read failed.
     pub(in crate::fleet) fn handle_cache_events(
         &mut self,
         now: Time,
@@ -75,7 +77,7 @@
         read: Option<&EventBatch>,
     ) {
         if self.residency(location).is_none() {
-            // The server is gone.
+            // The server has been removed.
             return;
         }
         let interval = self.read_interval();
@@ -104,12 +106,13 @@
         }
     }
 
-    /// Takes over what a peer tells of events that it reads.
+    /// Handles a peer's update from events that the peer reads.
     pub(in crate::fleet) fn handle_residency_update(&mut self, now: Time, update: &Update) {
         let Some(location) = self.location_of(&update.holder) else { return };
         let reads = self.readings.get(&location).is_some_and(|poll| poll.started_at.is_some());
         if reads {
-            // Both read for a moment; what this daemon reads is newer than what it is told.
+            // Two daemons briefly read the same events during a handover; this daemon's own read is
+            // newer.
             return;
         }
         let Some(held) = self.residency_mut(location) else { return };
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Tells a peer everything that a keeper holds, by the events that this daemon reads.
+    /// Sends a peer all parts of a holder whose events this daemon reads.
     pub(in crate::fleet) fn send_full_residency(&mut self, daemon: &str, holder: Holder) {
         let full =
             self.location_of(&holder).and_then(|location| self.residency(location)?.full_update());
@@ -159,11 +162,11 @@
         }
     }
 
-    /// Whether this daemon is to read a keeper's events: it schedules the pool of engines.
+    /// Whether this daemon should read a holder's events, as scheduler of the engine's pool.
     fn is_event_reader(&self, now: Time, location: Location) -> bool {
         let pool = match location {
             Location::Engine(key) => self.servers.get(key).map(|server| server.entry.pool.as_str()),
-            // Any pool of engines would do that all daemons agree on.
+            // The choice of pool is arbitrary, but all daemons must agree on it.
             Location::Store => self.table.as_ref().and_then(|table| table.engine_pools().next()),
         };
         let scheduled = |pool| self.is_scheduler(now) && self.scheduler_of(now, pool).is_none();
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Where a keeper's events are read.
+    /// Address at which a holder's events are read.
     fn holder_address(&self, location: Location) -> Option<SocketAddr> {
         let table = self.table.as_ref()?;
         match location {
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -1,5 +1,5 @@
-//! Where an engine gets the shared parts of a prompt that it lacks: the cheapest of another engine, the
-//! KV store, or reading them.
+//! Plans how an engine gets the shared prompt parts that it lacks, at the lowest cost: from another
+//! engine, from the KV store, or by computing them.
 
 use std::net::SocketAddr;
 
@@ -9,59 +9,60 @@
 use crate::fleet::{Node, Prompt, server};
 use crate::prelude::*;
 
-/// Shared tokens below which nothing is moved: to set a transfer up takes as long as to read them.
+/// Minimum number of shared tokens to transfer: setting up a transfer takes as long as computing
+/// them.
 const MIN_FETCH_TOKENS: u32 = 512;
-/// Milliseconds that it takes to set a transfer up, as the engines' makers state.
+/// Milliseconds to set up a transfer, as stated by the engines' makers.
 const TRANSFER_SETUP_MS: f64 = 5.0;
-/// By how much longer a transfer takes between availability zones.
+/// Factor by which a transfer between availability zones takes longer than one within a zone.
 const CROSS_ZONE_FACTOR: f64 = 2.0;
-/// Milliseconds that a token costs which is moved to one more engine: what it displaces there has to be
-/// read again with some chance. A quarter of what it takes to read one.
+/// Cost in milliseconds of each token copied to another engine. The copy evicts cached tokens,
+/// which may have to be computed again; a quarter of the time to compute one.
 const EVICTION_COST_MS_PER_TOKEN: f64 = 0.25 / PREFILL_TOKENS_PER_MS;
 
-/// What holds parts of a prompt.
+/// A holder of some of a prompt's shared parts.
 #[derive(Debug, Clone, PartialEq)]
 pub(in crate::fleet) struct Source {
     pub(in crate::fleet) place: Location,
     pub(in crate::fleet) address: SocketAddr,
-    /// Tokens of the prompt's beginning that it holds.
+    /// Tokens of the prompt's prefix that it holds.
     tokens: u32,
-    /// Bytes a second over its link.
+    /// Bandwidth of its link.
     link_bytes_per_s: f64,
-    /// Its availability zone.
+    /// Availability zone of the holder.
     zone: String,
-    /// Whether it is only taken to hold them, since its events can't be read.
+    /// Whether its holdings are assumed because its events can't be read.
     unconfirmed: bool,
 }
 
-/// What holds a prompt's shared parts under one salt.
+/// The holders of a prompt's shared parts under one cache salt.
 #[derive(Debug, Clone, Default)]
 pub(in crate::fleet) struct Sources {
     sources: Vec<Source>,
     token_bytes: f64,
-    /// Milliseconds that a fetch from the KV store is expected to wait for others.
+    /// Milliseconds that a fetch from the KV store is expected to wait for other transfers.
     store_delay_ms: f64,
 }
 
-/// How an engine gets the parts that it lacks.
+/// How an engine gets the shared parts that it lacks.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(in crate::fleet) struct FetchPlan {
-    /// What it fetches from.
+    /// The holder to fetch from.
     pub(in crate::fleet) source: Option<Source>,
-    /// Tokens that it fetches.
+    /// Tokens to fetch.
     pub(in crate::fleet) fetched_tokens: u32,
-    /// Those of them that the source is only taken to hold.
+    /// Tokens to fetch that the source is only assumed to hold.
     pub(in crate::fleet) unconfirmed_tokens: u32,
-    /// Shared tokens that are left to be read.
+    /// Shared tokens left to compute.
     pub(in crate::fleet) prefill_tokens: u32,
-    /// Milliseconds that the fetch delays the first token.
+    /// Milliseconds by which the fetch delays the first token.
     pub(in crate::fleet) fetch_ms: f64,
-    /// Milliseconds that the copy costs those who use what it displaces.
+    /// Cost in milliseconds of evicting other cached tokens on the engine.
     pub(in crate::fleet) eviction_cost_ms: f64,
 }
 
 impl Sources {
-    /// How `server` in `zone`, which holds `held` of `shared` tokens, gets the rest.
+    /// Returns the cheapest plan for `server` in `zone`, which holds `held` of `shared` tokens.
     pub(in crate::fleet) fn plan_fetch(
         &self,
         server: server::Key,
@@ -98,10 +99,10 @@
         best.filter(|best| cost(best) < cost(&prefill_all)).unwrap_or(prefill_all)
     }
 
-    /// What `server` is told to fetch from where it lacks `read` tokens, or in case it has dropped what it
-    /// is believed to hold: a miss costs it a millisecond. Where reading was found to be the better choice
-    /// an engine is named all the same, since what is read again displaces more; the KV store is not,
-    /// whose link has a queue then.
+    /// Returns the source named to `server` if it has to compute `read` tokens, or in case it has
+    /// evicted what it should hold; a failed fetch costs it a millisecond. An engine is named even
+    /// if computing was cheaper, because computing evicts more. The KV store is not named then,
+    /// because its link has a queue.
     pub(in crate::fleet) fn fallback_source(
         &self,
         server: server::Key,
@@ -118,14 +119,15 @@
     }
 }
 
-/// By how much longer a transfer between two availability zones takes than one within a zone.
+/// Factor by which a transfer between two availability zones takes longer than one within a zone.
 fn zone_factor(from: &str, to: &str) -> f64 {
     if from == to { 1.0 } else { CROSS_ZONE_FACTOR }
 }
 
 impl Node {
-    /// What holds the shared parts of a prompt under the weights `version`: engines and the KV store by
-    /// their events; while an engine's can't be read, it is taken to hold parts that it may be a home of.
+    /// Returns the holders of a prompt's shared parts under weights `version`, according to their
+    /// events. An engine whose events can't be read is assumed to hold the parts if it may be their
+    /// home.
     pub(in crate::fleet) fn sources(
         &self,
         now: Time,
@@ -175,7 +177,7 @@
         Sources { sources, token_bytes, store_delay_ms: self.link.delay_ms(now) }
     }
 
-    /// The KV store as a source, where its link has room.
+    /// Returns the KV store as a source if its link has capacity left.
     fn store_source(
         &self,
         now: Time,
@@ -198,7 +200,7 @@
         })
     }
 
-    /// By how much longer the KV store's link is used for a transfer to or from an engine.
+    /// Factor by which a transfer between the KV store and an engine uses the store's link longer.
     pub(in crate::fleet) fn store_zone_factor(&self, server: server::Key) -> f64 {
         let store = self.table.as_ref().and_then(|table| table.kv_store());
         let zone = self.servers.get(server).map(|server| server.entry.zone.as_str());
@@ -208,8 +210,9 @@
         }
     }
 
-    /// Where an engine sends what it reads: the KV store, where it lacks shared parts of the prompt that
-    /// are not on their way, and its link has room for the whole prompt.
+    /// Returns where an engine saves the parts that it computes, and how many bytes that transfers.
+    /// This is the KV store, if it lacks shared parts of the prompt that are not in transit and its
+    /// link has capacity for the whole prompt.
     pub(in crate::fleet) fn save_target(
         &self,
         now: Time,
