--- a/src/fleet/tests/beliefs/faults.rs
+++ b/src/fleet/tests/beliefs/faults.rs
@@ -39,7 +39,7 @@
             7 => Fault::Late,
             _ => {
                 for topic in Topic::ALL {
-                    self.store.forget(topic);
+                    self.store.compact(topic);
                 }
                 return;
             }
--- a/src/fleet/tests/catalog.rs
+++ b/src/fleet/tests/catalog.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn take_never_goes_back() {
+fn insert_older_record_is_ignored() {
     let mut catalog = Catalog::default();
     assert!(catalog.insert(Topic::Operator, &record("config", 7, Some("new"))));
     assert!(!catalog.insert(Topic::Operator, &record("config", 3, Some("old"))));
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn missing_keys_of_a_whole_read_are_gone() {
+fn removals_of_keys_missing_from_a_snapshot() {
     let mut catalog = Catalog::default();
     catalog.insert(Topic::Servers, &record("a", 1, Some("x")));
     catalog.insert(Topic::Servers, &record("b", 2, Some("x")));
     catalog.insert(Topic::Servers, &record("c", 9, Some("x")));
-    let whole = [record("b", 2, Some("x")), record("d", 5, Some("x"))];
+    let snapshot = [record("b", 2, Some("x")), record("d", 5, Some("x"))];
     // `c` came after the read began, from a peer; it is not missing.
-    assert_eq!(catalog.removals(Topic::Servers, &whole, 6), [record("a", 5, None)]);
+    assert_eq!(catalog.removals(Topic::Servers, &snapshot, 6), [record("a", 5, None)]);
 }
 
 quickcheck::quickcheck! {
-    fn take_any_order_ends_the_same(offsets: Vec<u8>) -> bool {
+    fn insert_any_order_ends_the_same(offsets: Vec<u8>) -> bool {
         let records: Vec<Record> = offsets
             .iter()
             .map(|offset| record(&format!("k{}", offset % 3), u64::from(*offset), Some("v")))
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn table_older_version_is_not_taken() {
+fn table_older_version_is_ignored() {
     let mut daemon = Daemon::with(1, &[]);
     let is_table = |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::Table(_)));
     assert!(is_table(&daemon.put(ms(1), Topic::Operator, &[("config", "table 9")])));
@@ -67,17 +67,17 @@
 }
 
 #[test]
-fn unreadable_registration_names_no_server_and_the_others_hold() {
+fn unreadable_registration_removes_only_its_server() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
-    let told = |effects: &[Effect]| {
+    let logged = |effects: &[Effect]| {
         let unreadable =
             |effect: &&Effect| matches!(effect, Effect::Event(Event::RecordUnreadable, _));
         effects.iter().filter(unreadable).count()
     };
     // Told of once, however often another writer repeats it.
-    assert_eq!(told(&daemon.put(ms(10), Topic::Servers, &[("s-1", "nonsense")])), 1);
-    assert_eq!(told(&daemon.put(ms(20), Topic::Servers, &[("s-1", "nonsense")])), 0);
-    assert_eq!(told(&daemon.put(ms(30), Topic::Servers, &[("s-9", "plain x ready")])), 1);
+    assert_eq!(logged(&daemon.put(ms(10), Topic::Servers, &[("s-1", "nonsense")])), 1);
+    assert_eq!(logged(&daemon.put(ms(20), Topic::Servers, &[("s-1", "nonsense")])), 0);
+    assert_eq!(logged(&daemon.put(ms(30), Topic::Servers, &[("s-9", "plain x ready")])), 1);
     let route = route("plain", Repeat::AtMostOnce, 1);
     for at in 40..44 {
         let (request, effects) = daemon.arrive(ms(at), &route, None);
@@ -88,11 +88,11 @@
     daemon.put(ms(50), Topic::Servers, &[("s-1", "plain 11 ready"), ("s-2", "")]);
     let (_, effects) = daemon.arrive(ms(60), &route, None);
     assert_eq!(dispatch(&effects).server, "s-1");
-    assert_eq!(told(&daemon.put(ms(70), Topic::Servers, &[("s-1", "nonsense")])), 1);
+    assert_eq!(logged(&daemon.put(ms(70), Topic::Servers, &[("s-1", "nonsense")])), 1);
 }
 
 #[test]
-fn unreadable_registration_from_a_peer_shuts_out_none_beside_it() {
+fn unreadable_registration_from_a_peer_keeps_other_servers() {
     let mut daemon = Daemon::with(1, &[]);
     let records =
         vec![record("s-1", 0, Some("nonsense")), record("s-2", 1, Some("plain 12 ready"))];
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -6,7 +6,7 @@
 use crate::route::Repeat;
 
 /// Carries frames between daemons for `span`, a tick every 50 ms; returns the other effects of each.
-fn talk(daemons: &mut [Daemon], from: Time, span: Duration) -> Vec<Vec<Effect>> {
+fn exchange_frames(daemons: &mut [Daemon], from: Time, span: Duration) -> Vec<Vec<Effect>> {
     let mut seen = vec![Vec::new(); daemons.len()];
     let mut now = from;
     while now < from + span {
@@ -44,7 +44,7 @@
 fn table_reaches_a_daemon_that_the_store_refuses() {
     let mut daemons = pair();
     daemons[0].put(ms(100), Topic::Operator, &[("config", "table 2")]);
-    let seen = talk(&mut daemons, ms(100), ms(1_000));
+    let seen = exchange_frames(&mut daemons, ms(100), ms(1_000));
     let versions: Vec<u64> = seen[1]
         .iter()
         .filter_map(|effect| match effect {
@@ -56,16 +56,16 @@
 }
 
 #[test]
-fn leaving_server_is_told_of() {
+fn draining_server_is_reported_to_peers() {
     let mut daemons = pair();
     daemons[0].put(ms(100), Topic::Servers, &[("s-1", "plain 11 draining")]);
-    talk(&mut daemons, ms(100), ms(1_000));
+    exchange_frames(&mut daemons, ms(100), ms(1_000));
     let route = route("plain", Repeat::AtMostOnce, 1);
     assert!(commands(&daemons[1].arrive(ms(1_200), &route, None).1).is_empty());
 }
 
 #[test]
-fn newcomer_gets_all_from_a_seed_while_the_store_is_down() {
+fn new_daemon_gets_all_records_from_a_seed_while_the_store_is_down() {
     let one = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     let mut two = Daemon::new(2);
     let identity = Identity {
@@ -78,17 +78,17 @@
     two.node = Node::new(identity, POLICY, decode, &[address(1), address(2)]);
     let mut daemons = [one, two];
     assert!(!daemons[1].node.is_ready());
-    talk(&mut daemons, ms(100), ms(1_500));
+    exchange_frames(&mut daemons, ms(100), ms(1_500));
     assert!(daemons[1].node.is_ready());
 }
 
 #[test]
-fn full_server_is_known_to_be_full_from_peers() {
+fn full_server_is_known_from_peers() {
     let mut daemons = pair();
     let route = route("plain", Repeat::AtMostOnce, 1);
     daemons[0].arrive(ms(100), &route, None);
     daemons[0].arrive(ms(100), &route, None);
-    talk(&mut daemons, ms(100), ms(600));
+    exchange_frames(&mut daemons, ms(100), ms(600));
     assert!(commands(&daemons[1].arrive(ms(750), &route, None).1).is_empty());
     // A peer that is not heard of any more no longer counts.
     daemons[1].tick(ms(3_000));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn weights_told_by_a_peer_are_logged_told_on_and_sent_to() {
+fn weights_from_a_peer_are_logged_forwarded_and_used() {
     let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1")]);
     daemon.put(ms(100), Topic::Operator, &[("version/m", "weights 2")]);
     let route = route("engines", Repeat::Resumable, 2);
@@ -119,15 +119,15 @@
     let effects = daemon.node.apply(ms(9_010), Message::Frame(Frame::Digest(Box::new(digest))));
     assert_eq!(dispatch(&effects).weights, Some(2));
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Event(Event::WeightsLoaded, _))));
-    let told = daemon.tick(ms(9_300)).into_iter().find_map(|effect| match effect {
+    let reported = daemon.tick(ms(9_300)).into_iter().find_map(|effect| match effect {
         Effect::Send(_, Frame::Digest(digest)) => Some(digest.weights),
         _ => None,
     });
-    assert_eq!(told, Some(weights));
+    assert_eq!(reported, Some(weights));
 }
 
 /// A node that hears of `count` peers at `now`.
-fn hearing_of(count: u8, now: Time) -> Daemon {
+fn daemon_with_peers(count: u8, now: Time) -> Daemon {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     for last in 2..count + 2 {
         let digest = Digest {
@@ -141,28 +141,28 @@
 }
 
 #[test]
-fn news_from_the_store_is_told_at_once_and_told_on_once() {
-    let mut daemon = hearing_of(10, ms(1_000));
-    let told = |effects: &[Effect]| -> usize {
-        let told = effects.iter().map(|effect| match effect {
+fn new_record_is_forwarded_at_once_and_only_once() {
+    let mut daemon = daemon_with_peers(10, ms(1_000));
+    let forwarded = |effects: &[Effect]| -> usize {
+        let counts = effects.iter().map(|effect| match effect {
             Effect::Send(to, Frame::Records(batch)) if batch.records.len() == 1 => to.len(),
             _ => 0,
         });
-        told.sum()
+        counts.sum()
     };
     let effects = daemon.put(ms(1_010), Topic::Servers, &[("s-2", "plain 12 ready")]);
-    assert_eq!(told(&effects), 3);
+    assert_eq!(forwarded(&effects), 3);
     let record = Record { key: "s-3".into(), offset: 2, value: Some(b"plain 13 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 2, to: 3, records: vec![record] };
     let frame = Frame::Records(batch);
-    assert_eq!(told(&daemon.node.apply(ms(1_020), Message::Frame(frame.clone()))), 3);
-    assert_eq!(told(&daemon.node.apply(ms(1_030), Message::Frame(frame))), 0);
+    assert_eq!(forwarded(&daemon.node.apply(ms(1_020), Message::Frame(frame.clone()))), 3);
+    assert_eq!(forwarded(&daemon.node.apply(ms(1_030), Message::Frame(frame))), 0);
     assert_eq!(daemon.node.end(Topic::Servers), 3);
 }
 
 #[test]
-fn news_after_a_gap_is_taken_and_the_gap_is_asked_for() {
-    let mut daemon = hearing_of(1, ms(1_000));
+fn record_after_a_gap_is_applied_and_the_gap_is_requested() {
+    let mut daemon = daemon_with_peers(1, ms(1_000));
     let record = Record { key: "s-9".into(), offset: 8, value: Some(b"plain 19 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 8, to: 9, records: vec![record] };
     daemon.node.apply(ms(1_010), Message::Frame(Frame::Records(batch)));
@@ -175,29 +175,29 @@
     };
     daemon.node.apply(ms(1_100), Message::Frame(Frame::Digest(Box::new(digest))));
     daemon.tick(ms(1_110));
-    let asked = daemon.tick(ms(1_400)).into_iter().find_map(|effect| match effect {
+    let requested = daemon.tick(ms(1_400)).into_iter().find_map(|effect| match effect {
         Effect::Send(_, Frame::Ask(_, Topic::Servers, from)) => Some(from),
         _ => None,
     });
-    assert_eq!(asked, Some(1));
+    assert_eq!(requested, Some(1));
 }
 
 #[test]
 fn daemons_share_the_reading_of_the_store() {
     let servers = Tracked::Topic(Topic::Servers);
-    let alone = hearing_of(0, ms(1_000)).node.pace(ms(1_010), servers);
-    let few = hearing_of(6, ms(1_000)).node.pace(ms(1_010), servers);
-    let many = hearing_of(60, ms(1_000)).node.pace(ms(1_010), servers);
+    let alone = daemon_with_peers(0, ms(1_000)).node.pace(ms(1_010), servers);
+    let few = daemon_with_peers(6, ms(1_000)).node.pace(ms(1_010), servers);
+    let many = daemon_with_peers(60, ms(1_000)).node.pace(ms(1_010), servers);
     assert!(alone < few && few < many && many <= ms(1_200), "{alone:?} {few:?} {many:?}");
     // Peers that fall silent no longer read for this daemon.
-    assert_eq!(hearing_of(60, ms(1_000)).node.pace(ms(9_000), servers), alone);
-    let mut operators = hearing_of(60, ms(1_000));
+    assert_eq!(daemon_with_peers(60, ms(1_000)).node.pace(ms(9_000), servers), alone);
+    let mut operators = daemon_with_peers(60, ms(1_000));
     assert_eq!(operators.node.pace(ms(1_010), Tracked::Topic(Topic::Operator)), ms(0));
     operators.tick(ms(1_010));
 }
 
 #[test]
-fn lease_is_read_often_by_those_who_may_take_it_next() {
+fn lease_is_read_often_by_the_next_candidates() {
     let mut last = Daemon::new(200);
     for number in 2..6 {
         let digest = Digest {
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn newcomer_told_of_one_server_is_not_ready() {
+fn new_daemon_with_one_server_record_is_not_ready() {
     let mut daemon = Daemon::new(1);
     daemon.put(ms(0), Topic::Operator, &[("config", "table 1")]);
     let value = Some(b"plain 11 ready".to_vec());
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn newcomer_told_of_one_daemon_shares_the_retry_budget_with_many() {
+fn new_daemon_with_one_peer_record_shares_the_retry_budget_with_many() {
     let mut daemon = Daemon::new(1);
     let value = Some(b"router 2".to_vec());
     let records = vec![Record { key: "router-2".into(), offset: 8, value }];
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -5,11 +5,11 @@
 use crate::prelude::*;
 
 /// Time for an answer beyond the wait.
-const ANSWER: Duration = Duration::from_millis(1_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time to the next call after one that the store did not answer, or that found no topic.
-const STORE_PAUSE: Duration = Duration::from_millis(300);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Time between two looks whether a daemon is to read what it leaves to others.
-const LEFT_PAUSE: Duration = Duration::from_millis(200);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What is stored of one topic.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
     }
 
     /// Forgets all that was appended so far, but for the newest record of each key.
-    pub fn forget(&mut self, topic: Topic) {
+    pub fn compact(&mut self, topic: Topic) {
         let log = self.logs.entry(topic).or_default();
         log.first = log.records.len() as u64;
     }
@@ -59,7 +59,7 @@
     fn from(&self, topic: Topic, from: u64) -> Answer {
         let Some(log) = self.logs.get(&topic) else { return Answer::Records(Vec::new()) };
         if from < log.first {
-            return Answer::Forgotten;
+            return Answer::Compacted;
         }
         let from = usize::try_from(from).unwrap_or(usize::MAX);
         Answer::Records(log.records.iter().skip(from).map(|(_, record)| record.clone()).collect())
@@ -80,24 +80,24 @@
 
 #[derive(Debug, Clone)]
 enum Answer {
-    Whole(Vec<Record>, u64),
+    Snapshot(Vec<Record>, u64),
     Records(Vec<Record>),
     Lease(Vec<(u64, String)>),
-    Forgotten,
+    Compacted,
     Failed,
 }
 
 /// A read under way.
 #[derive(Debug)]
-struct Ask {
+struct PendingRead {
     /// `None` for everything.
     from: Option<u64>,
-    asked: Time,
-    arrives: Time,
+    started_at: Time,
+    arrives_at: Time,
     /// Until when it waits for a record.
     waits_until: Time,
     /// When the daemon gives up.
-    limit: Time,
+    deadline: Time,
     /// The first page, when the second is read, and the end as of the first.
     page: Option<(Vec<Record>, Time, u64)>,
     answer: Option<(Time, Answer)>,
@@ -109,14 +109,14 @@
     tracked: Tracked,
     next: Option<u64>,
     wait: Duration,
-    rests_until: Time,
-    ask: Option<Ask>,
+    idle_until: Time,
+    pending: Option<PendingRead>,
 }
 
 impl Watch {
     pub fn new(tracked: Tracked) -> Self {
         let next = (tracked == Tracked::Lease).then_some(0);
-        Self { tracked, next, wait: Duration::ZERO, rests_until: Time::ZERO, ask: None }
+        Self { tracked, next, wait: Duration::ZERO, idle_until: Time::ZERO, pending: None }
     }
 
     /// Asks, waits, or takes an answer in, which is returned for the node.
@@ -129,38 +129,40 @@
         rng: &mut fastrand::Rng,
     ) -> Option<Message> {
         let mut delay = || match access {
-            Access::Slow(most) => Duration::from_millis(rng.u64(50..most.as_millis() as u64)),
+            Access::Slow(max) => Duration::from_millis(rng.u64(50..max.as_millis() as u64)),
             Access::Open | Access::Refused | Access::Silent => {
                 Duration::from_millis(rng.u64(2..20))
             }
         };
-        let Some(ask) = &mut self.ask else {
-            if now >= self.rests_until {
-                self.ask(now, node, delay());
+        let Some(pending) = &mut self.pending else {
+            if now >= self.idle_until {
+                self.start_read(now, node, delay());
             }
             return None;
         };
-        if ask.answer.is_none() && now >= ask.arrives {
+        if pending.answer.is_none() && now >= pending.arrives_at {
             let answer = match access {
                 Access::Refused => Some(Answer::Failed),
-                Access::Silent => Some(Answer::Failed).filter(|_| now >= ask.limit),
-                Access::Open | Access::Slow(_) => ask.look(now, self.tracked, store, &mut delay),
+                Access::Silent => Some(Answer::Failed).filter(|_| now >= pending.deadline),
+                Access::Open | Access::Slow(_) => {
+                    pending.poll_store(now, self.tracked, store, &mut delay)
+                }
             };
-            ask.answer = answer.map(|answer| (now + delay(), answer));
+            pending.answer = answer.map(|answer| (now + delay(), answer));
         }
-        let due = ask.answer.take_if(|(at, _)| now >= *at && *at < ask.limit);
+        let due = pending.answer.take_if(|(at, _)| now >= *at && *at < pending.deadline);
         let answer = due.map(|(_, answer)| answer);
-        let late = (now >= ask.limit).then_some(Answer::Failed);
+        let late = (now >= pending.deadline).then_some(Answer::Failed);
         let answer = answer.or(late)?;
-        let (from, asked) = (ask.from, ask.asked);
-        self.ask = None;
-        self.take(now, node, from, asked, answer)
+        let (from, started_at) = (pending.from, pending.started_at);
+        self.pending = None;
+        self.handle_answer(now, node, from, started_at, answer)
     }
 
-    fn ask(&mut self, now: Time, node: &Node, delay: Duration) {
+    fn start_read(&mut self, now: Time, node: &Node, delay: Duration) {
         if self.next.is_some() && !node.reads(now, self.tracked) {
             self.wait = Duration::ZERO;
-            self.rests_until = now + LEFT_PAUSE;
+            self.idle_until = now + READER_CHECK_INTERVAL;
             return;
         }
         let from = match self.tracked {
@@ -168,59 +170,66 @@
             Tracked::Topic(topic) => self.next.map(|next| next.max(node.end(topic))),
             Tracked::Lease => Some(node.next_lease()),
         };
-        let limit = now + ANSWER + self.wait;
-        let (arrives, waits_until) = (now + delay, now + delay + self.wait);
-        self.ask =
-            Some(Ask { from, asked: now, arrives, waits_until, limit, page: None, answer: None });
+        let deadline = now + ANSWER_TIMEOUT + self.wait;
+        let (arrives_at, waits_until) = (now + delay, now + delay + self.wait);
+        self.pending = Some(PendingRead {
+            from,
+            started_at: now,
+            arrives_at,
+            waits_until,
+            deadline,
+            page: None,
+            answer: None,
+        });
     }
 
-    fn take(
+    fn handle_answer(
         &mut self,
         now: Time,
         node: &Node,
         from: Option<u64>,
-        asked: Time,
+        started_at: Time,
         answer: Answer,
     ) -> Option<Message> {
-        self.rests_until = now;
+        self.idle_until = now;
         let (records, whole, to) = match answer {
             Answer::Failed => {
                 self.wait = Duration::ZERO;
-                self.rests_until = now + node.pause();
+                self.idle_until = now + node.pause();
                 return Some(Message::Down(self.tracked, "no answer".into()));
             }
-            Answer::Forgotten => {
+            Answer::Compacted => {
                 self.next = None;
                 return None;
             }
             Answer::Lease(records) => {
-                let any = records.is_empty() && node.next_lease() == 0;
-                self.rests_until =
-                    now + if any { STORE_PAUSE } else { node.pace(now, self.tracked) };
+                let is_empty = records.is_empty() && node.next_lease() == 0;
+                self.idle_until =
+                    now + if is_empty { STORE_RETRY_DELAY } else { node.pace(now, self.tracked) };
                 self.wait = node.wait(now, self.tracked);
                 return Some(Message::Lease(0, records));
             }
-            Answer::Whole(records, to) => (records, true, to),
+            Answer::Snapshot(records, to) => (records, true, to),
             Answer::Records(records) => {
                 let to = from.unwrap_or_default() + records.len() as u64;
                 (records, false, to)
             }
         };
         let Tracked::Topic(topic) = self.tracked else { return None };
-        self.rests_until += match (records.is_empty(), to) {
+        self.idle_until += match (records.is_empty(), to) {
             (false, _) => node.pace(now, self.tracked),
-            (true, 0) => STORE_PAUSE,
+            (true, 0) => STORE_RETRY_DELAY,
             (true, _) => Duration::ZERO,
         };
         (self.next, self.wait) = (Some(to), node.wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
-        Some(Message::Read(Read { batch, whole, asked }))
+        Some(Message::Read(Read { batch, whole, asked: started_at }))
     }
 }
 
-impl Ask {
+impl PendingRead {
     /// What the store answers now; nothing while it waits, or reads the second page.
-    fn look(
+    fn poll_store(
         &mut self,
         now: Time,
         tracked: Tracked,
@@ -252,7 +261,7 @@
             }
             Some((mut records, due, end)) if now >= due => {
                 records.extend(store.page(topic, |key| !middle(key)));
-                Some(Answer::Whole(records, end))
+                Some(Answer::Snapshot(records, end))
             }
             waiting => {
                 self.page = waiting;
