--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -219,7 +219,7 @@
         let repeatable = |key: &Key| self.requests.get(key).is_some_and(Request::may_repeat);
         let lost: Vec<Key> = attempts.into_iter().map(|(key, _)| key).filter(repeatable).collect();
         for key in lost {
-            self.log_failed(key, former, "its server has started again");
+            self.log_failed(key, former, "the server restarted");
             self.repeat(now, key);
         }
     }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -43,7 +43,7 @@
             Report::Unsent => {
                 request.runs -= 1;
                 self.counts.unsent += 1;
-                self.log_failed(key, server, "it could not be connected to");
+                self.log_failed(key, server, "could not connect to the server");
                 self.note_failure(now, server);
                 self.again(now, key, false, Code::RetriesExhausted);
             }
@@ -58,7 +58,7 @@
             }
             Report::Failed => {
                 self.counts.failed += 1;
-                self.log_failed(key, server, "it answered with a failure of its own");
+                self.log_failed(key, server, "the server answered with an error");
                 self.note_response(now, server);
                 self.repeat(now, key);
             }
--- a/src/fleet/tests/catalog.rs
+++ b/src/fleet/tests/catalog.rs
@@ -37,7 +37,7 @@
     catalog.insert(Topic::Servers, &record("b", 2, Some("x")));
     catalog.insert(Topic::Servers, &record("c", 9, Some("x")));
     let snapshot = [record("b", 2, Some("x")), record("d", 5, Some("x"))];
-    // `c` came after the read began, from a peer; it is not missing.
+    // `c` arrived from a peer after the read began, so it is not a removal.
     assert_eq!(catalog.removals(Topic::Servers, &snapshot, 6), [record("a", 5, None)]);
 }
 
@@ -74,7 +74,7 @@
             |effect: &&Effect| matches!(effect, Effect::Event(Event::RecordUnreadable, _));
         effects.iter().filter(unreadable).count()
     };
-    // Told of once, however often another writer repeats it.
+    // Logged once, however often another writer repeats it.
     assert_eq!(logged(&daemon.put(ms(10), Topic::Servers, &[("s-1", "nonsense")])), 1);
     assert_eq!(logged(&daemon.put(ms(20), Topic::Servers, &[("s-1", "nonsense")])), 0);
     assert_eq!(logged(&daemon.put(ms(30), Topic::Servers, &[("s-9", "plain x ready")])), 1);
@@ -84,7 +84,7 @@
         assert_eq!(dispatch(&effects).server, "s-2");
         daemon.node.apply(ms(at), Message::Leave(request));
     }
-    // Its own next registration brings it back.
+    // The server's next valid registration restores it.
     daemon.put(ms(50), Topic::Servers, &[("s-1", "plain 11 ready"), ("s-2", "")]);
     let (_, effects) = daemon.arrive(ms(60), &route, None);
     assert_eq!(dispatch(&effects).server, "s-1");
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -1,11 +1,12 @@
-//! What daemons learn from each other while the store does not answer one of them.
+//! What daemons learn from each other while one of them can't read the store.
 
 use super::world::*;
 use crate::fleet::*;
 use crate::prelude::*;
 use crate::route::Repeat;
 
-/// Carries frames between daemons for `span`, a tick every 50 ms; returns the other effects of each.
+/// Exchanges frames between daemons for `span`, with a tick every 50 ms; returns the other effects
+/// of each.
 fn exchange_frames(daemons: &mut [Daemon], from: Time, span: Duration) -> Vec<Vec<Effect>> {
     let mut seen = vec![Vec::new(); daemons.len()];
     let mut now = from;
@@ -90,7 +91,7 @@
     daemons[0].arrive(ms(100), &route, None);
     exchange_frames(&mut daemons, ms(100), ms(600));
     assert!(commands(&daemons[1].arrive(ms(750), &route, None).1).is_empty());
-    // A peer that is not heard of any more no longer counts.
+    // The load of a silent peer no longer counts.
     daemons[1].tick(ms(3_000));
     daemons[1].node.apply(
         ms(3_000),
@@ -126,7 +127,7 @@
     assert_eq!(reported, Some(weights));
 }
 
-/// A node that hears of `count` peers at `now`.
+/// A daemon that received digests of `count` peers at `now`.
 fn daemon_with_peers(count: u8, now: Time) -> Daemon {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     for last in 2..count + 2 {
@@ -189,7 +190,7 @@
     let few = daemon_with_peers(6, ms(1_000)).node.pace(ms(1_010), servers);
     let many = daemon_with_peers(60, ms(1_000)).node.pace(ms(1_010), servers);
     assert!(alone < few && few < many && many <= ms(1_200), "{alone:?} {few:?} {many:?}");
-    // Peers that fall silent no longer read for this daemon.
+    // Silent peers no longer share the reads.
     assert_eq!(daemon_with_peers(60, ms(1_000)).node.pace(ms(9_000), servers), alone);
     let mut operators = daemon_with_peers(60, ms(1_000));
     assert_eq!(operators.node.pace(ms(1_010), Tracked::Topic(Topic::Operator)), ms(0));
@@ -203,7 +204,7 @@
         let digest = Digest {
             daemon: format!("router-1{number}"),
             address: address(number).to_string(),
-            // Larger VMs go first.
+            // Daemons on larger VMs rank first.
             cores: 2.0,
             ..Digest::default()
         };
@@ -211,7 +212,7 @@
     }
     last.tick(ms(1_010));
     assert!(last.node.pace(ms(1_010), Tracked::Lease) > ms(2_000));
-    // All of them fall silent, one after the other.
+    // All of them go silent, one after the other.
     for now in (1_100..9_000).step_by(100) {
         last.tick(ms(now));
     }
@@ -224,7 +225,7 @@
     let mut seen = Vec::new();
     for tracked in Tracked::ALL {
         for at in [100, 400, 700] {
-            let message = Message::Down(tracked, "it refused".into());
+            let message = Message::Down(tracked, "connection refused".into());
             seen.extend(daemon.node.apply(ms(at), message));
         }
     }
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -1,4 +1,4 @@
-//! What engines hold: who reads their events, what peers hear of them, and what follows for requests.
+//! Which daemon reads each holder's events, what peers learn, and how that affects placement.
 
 use super::world::*;
 use crate::fleet::*;
@@ -18,7 +18,7 @@
     daemons.collect()
 }
 
-/// What keeps parts, as a stand-in for engines and the KV store: the events of each address.
+/// A stand-in for engines and the KV store: the cache events published at each address.
 #[derive(Default)]
 struct Holders {
     events: BTreeMap<std::net::SocketAddr, Vec<CacheEvent>>,
@@ -41,7 +41,7 @@
     fn read(&mut self, reader: usize, at: std::net::SocketAddr, since: u64) -> EventBatch {
         self.readers.entry(at).or_default().push(reader);
         let events = self.events.get(&at).map(Vec::as_slice).unwrap_or_default();
-        let from = usize::try_from(since).expect("it is small").min(events.len());
+        let from = usize::try_from(since).expect("event numbers fit in usize").min(events.len());
         EventBatch {
             epoch: self.epochs.get(&at).copied().unwrap_or_default(),
             next: events.len() as u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs daemons that read `keepers` and hear each other, but for frames that `lost` picks.
+/// Runs daemons that read `holders` and exchange frames, except frames that `is_dropped` selects.
 fn run(
     daemons: &mut [Daemon],
     holders: &mut Holders,
@@ -103,7 +103,8 @@
     false
 }
 
-/// Where a prompt at one of the daemons goes, whichever daemon schedules it; its caller leaves.
+/// Sends a prompt through one of the daemons and returns its dispatch, whichever daemon schedules
+/// it; the caller then leaves.
 fn send_prompt(daemons: &mut [Daemon], at: usize, now: Time, subject: u64) -> Dispatch {
     send_prompt_for(daemons, at, now, subject, None)
 }
@@ -123,19 +124,21 @@
     sent
 }
 
-/// The only dispatch that follows from the effects of a daemon, at that daemon.
+/// Returns the only dispatch that results from the effects of a daemon, at that daemon.
 fn placed(daemons: &mut [Daemon], now: Time, at: usize, effects: Vec<Effect>) -> Dispatch {
     let received = deliver(daemons, &mut Holders::default(), now, at, effects, drop_none);
     match received.as_slice() {
         [(daemon, Command::Dispatch(sent))] if *daemon == at => sent.clone(),
-        other => panic!("one dispatch was expected: {other:?}"),
+        other => panic!("expected one dispatch, at the daemon itself: {other:?}"),
     }
 }
 
-/// An engine that `subject` does not go to where nothing is known.
+/// An engine that is not chosen for `subject` while no events are known.
 fn engine_other_than_home(subject: u64) -> u8 {
     let home = send_prompt(&mut [Daemon::with(1, &ENGINES)], 0, ms(1), subject);
-    (21..24).find(|last| address(*last) != home.address).expect("there are three")
+    (21..24)
+        .find(|last| address(*last) != home.address)
+        .expect("only one of three engines is chosen")
 }
 
 #[test]
@@ -150,11 +153,12 @@
         assert!(seen.iter().all(|reader| reader == &seen[0]), "{at}: {seen:?}");
         readers.insert(*at, seen[0]);
     }
-    // The reader of the first engine's events stops.
+    // The daemon that reads the first engine's events stops.
     let stopped = readers[&address(21)];
     daemons.remove(stopped);
     holders.readers.clear();
-    let other = daemons.iter_mut().position(|d| d.node.is_ready()).expect("two are left");
+    let other =
+        daemons.iter_mut().position(|d| d.node.is_ready()).expect("two ready daemons are left");
     for now in (5_000..9_000).step_by(20) {
         let effects = daemons[other].tick(ms(now));
         deliver(&mut daemons, &mut holders, ms(now), other, effects, |_| true);
@@ -204,7 +208,8 @@
     holders.cache_part(holder, "1", subject, 3_800);
     run(&mut daemons, &mut holders, ms(0), ms(1_500), drop_none);
     holders.restart(holder);
-    // It has told more events by now than it had before, none of which is to be missed.
+    // By now the engine has published more events than before its restart; none of them may be
+    // missed.
     for part in 100..110 {
         holders.cache_part(holder, "1", part, 600);
     }
@@ -214,7 +219,7 @@
         let servers = daemon.node.servers.values();
         let restarted = servers.filter(|server| server.entry.address == address(holder));
         let parts: Vec<usize> = restarted.map(|server| server.held.len()).collect();
-        assert_eq!(parts, [11], "what it held before, or missed since, counts");
+        assert_eq!(parts, [11], "parts from before the restart count, or parts since are missing");
     }
 }
 
@@ -226,7 +231,7 @@
     run(&mut daemons, &mut holders, ms(0), ms(1_000), drop_none);
     holders.cache_part(holder, "1", 7, 2_500);
     holders.cache_part(holder, "1", subject, 3_800);
-    // What is told of it now reaches nobody.
+    // The updates about these parts are dropped.
     run(&mut daemons, &mut holders, ms(1_000), ms(200), |frame| matches!(frame, Frame::Held(_)));
     run(&mut daemons, &mut holders, ms(1_200), ms(2_500), drop_none);
     for daemon in 0..3 {
@@ -248,7 +253,7 @@
                 deliver(&mut daemons, &mut holders, ms(now), index, effects, drop_none)
             {
                 let Command::Dispatch(sent) = command else { panic!("{command:?}") };
-                // An engine that is still reading the part has nothing to be fetched yet.
+                // An engine that is still computing the part has nothing to fetch yet.
                 assert_eq!(sent.fetch_from, None);
                 readers.insert(sent.server);
             }
@@ -261,20 +266,23 @@
 fn kv_store_link_budget_is_shared_by_all_daemons() {
     let (mut daemons, mut holders) = (daemons(), Holders::default());
     run(&mut daemons, &mut holders, ms(0), ms(2_000), drop_none);
-    // 47 GB/s: a fifth of a second of four fifths of it takes five prompts of 9,000 tokens of 164 KB.
+    // 47 GB/s: 0.2 s of 80% of it carries five prompts of 9,000 tokens of 164 KB.
     let mut saved = 0;
     for subject in 0..200 {
         saved += usize::from(send_prompt(&mut daemons, 0, ms(2_010), subject).save_to.is_some());
     }
-    assert!((4..7).contains(&saved), "one daemon may use what is free: {saved}");
-    // The others hear that it is used, and use what has become free since.
+    assert!(
+        (4..7).contains(&saved),
+        "saved prompts of one daemon, which may use all free capacity: {saved}"
+    );
+    // The other daemons learn how much was used, and use only what has become free since.
     run(&mut daemons, &mut holders, ms(2_010), ms(300), drop_none);
     let mut saved_later = 0;
     for subject in 200..400 {
         saved_later +=
             usize::from(send_prompt(&mut daemons, 1, ms(2_320), subject).save_to.is_some());
     }
-    assert!(saved_later <= 6, "{saved_later} more after a third of a second");
+    assert!(saved_later <= 6, "{saved_later} more prompts saved after a third of a second");
 }
 
 #[test]
@@ -284,7 +292,7 @@
     let route = route("engines", Repeat::Resumable, 2);
     let (_, effects) = daemons[0].arrive(ms(1_010), &route, Some(prompt(7, 3)));
     let reader = placed(&mut daemons, ms(1_010), 0, effects).server;
-    // Small requests of another daemon go elsewhere, before any digest.
+    // Small requests at another daemon go to other engines, even before the next digest.
     let parts = vec![Part { id: 9, tokens: 100 }, Part { id: 10, tokens: 200 }];
     let small = Prompt { model: "m".into(), input: 300, output: 9, parts };
     for _ in 0..4 {
@@ -297,7 +305,7 @@
 
 #[test]
 fn large_prompt_placed_without_a_scheduler_is_announced_at_once() {
-    // Four daemons, of which one does not schedule, and the schedulers leave it without a word.
+    // Four daemons, one of which does not schedule and gets no answer from the schedulers.
     let routers = (1..=4).map(|last| (format!("router-{last}"), format!("router {last}")));
     let routers: Vec<(String, String)> = routers.collect();
     let routers: Vec<(&str, &str)> =
@@ -310,10 +318,10 @@
     let (mut daemons, mut holders): (Vec<Daemon>, _) = (daemons.collect(), Holders::default());
     run(&mut daemons, &mut holders, ms(0), ms(4_000), drop_none);
     let at = daemons.iter().position(|daemon| !daemon.node.is_scheduler(ms(4_000)));
-    let at = at.expect("three schedule");
+    let at = at.expect("three of four daemons schedule");
     let route = route("engines", Repeat::Resumable, 2);
     let (request, _) = daemons[at].arrive(ms(4_010), &route, Some(prompt(7, 3)));
-    assert!(commands(&daemons[at].tick(ms(4_100))).is_empty(), "another one is asked");
+    assert!(commands(&daemons[at].tick(ms(4_100))).is_empty(), "the next scheduler is tried first");
     let effects = daemons[at].tick(ms(4_200));
     let sent = dispatch(&effects);
     let notice = |effects: &[Effect]| {
@@ -322,11 +330,14 @@
             _ => None,
         })
     };
-    let (peer_count, placed) = notice(&effects).expect("the schedulers are told");
+    let (peer_count, placed) = notice(&effects).expect("a notice goes to the schedulers");
     assert_eq!((peer_count, placed.life.id), (3, sent.server));
     assert!(placed.busy.pending_tokens > 0 && !placed.parts.is_empty());
     let effects = daemons[at].report(ms(4_300), request, 1, Report::Begun(Some(1)));
-    assert_eq!(notice(&effects).expect("they are told").1.busy.pending_tokens, 0);
+    assert_eq!(
+        notice(&effects).expect("a notice follows when the answer begins").1.busy.pending_tokens,
+        0
+    );
 }
 
 #[test]
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -1,26 +1,26 @@
-//! The platform's store as daemons see it, and how they follow it: whole reads by pages, reads from an offset
-//! that wait for a record, a history that is forgotten, and answers that come late or not at all.
+//! Model of the platform's store and of how daemons follow it: paged snapshot reads, long polls
+//! from an offset, compaction, and late or missing answers.
 
 use crate::fleet::*;
 use crate::prelude::*;
 
-/// Time for an answer beyond the wait.
+/// Time for an answer in addition to the long poll's wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time to the next call after one that the store did not answer, or that found no topic.
+/// Delay after a read that the store did not answer, or that found no topic.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time between two looks whether a daemon is to read what it leaves to others.
+/// Interval between checks of whether a daemon should read what it leaves to others.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is stored of one topic.
+/// The stored records of one topic.
 #[derive(Debug, Default)]
 struct Log {
-    /// When each was appended, and what; the offset is the place.
+    /// Append time and record; the index is the offset.
     records: Vec<(Time, Record)>,
-    /// The oldest offset that can be read; the newest record of a key stays on the list.
+    /// The oldest offset that can be read from; the newest record of each key stays in the listing.
     first: u64,
 }
 
-/// Topics and the lease.
+/// The topics and the lease.
 #[derive(Debug, Default)]
 pub struct Store {
     logs: BTreeMap<Topic, Log>,
@@ -35,13 +35,13 @@
         log.records.push((now, Record { key: key.into(), offset, value }));
     }
 
-    /// Forgets all that was appended so far, but for the newest record of each key.
+    /// Drops all records appended so far except the newest of each key.
     pub fn compact(&mut self, topic: Topic) {
         let log = self.logs.entry(topic).or_default();
         log.first = log.records.len() as u64;
     }
 
-    /// The newest record of each key, with the time at which it was appended; removals too.
+    /// The newest record of each key, including removals, with its append time.
     pub fn newest(&self, topic: Topic) -> BTreeMap<&str, (Time, &Record)> {
         let records = self.logs.get(&topic).into_iter().flat_map(|log| &log.records);
         records.map(|(at, record)| (record.key.as_str(), (*at, record))).collect()
@@ -66,13 +66,13 @@
     }
 }
 
-/// How the store takes a daemon's calls.
+/// How the store responds to a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
     Open,
-    /// Its answers take up to this long.
+    /// Answers are delayed by up to this long.
     Slow(Duration),
-    /// It answers that it does not.
+    /// It answers every read with a failure.
     Refused,
     /// It never answers.
     Silent,
@@ -87,23 +87,23 @@
     Failed,
 }
 
-/// A read under way.
+/// A read in progress.
 #[derive(Debug)]
 struct PendingRead {
-    /// `None` for everything.
+    /// Offset to read from; `None` for a snapshot.
     from: Option<u64>,
     started_at: Time,
     arrives_at: Time,
-    /// Until when it waits for a record.
+    /// End of the long poll.
     waits_until: Time,
-    /// When the daemon gives up.
+    /// Time at which the daemon gives up.
     deadline: Time,
-    /// The first page, when the second is read, and the end as of the first.
+    /// The first page, the time of the second page's read, and the end offset as of the first.
     page: Option<(Vec<Record>, Time, u64)>,
     answer: Option<(Time, Answer)>,
 }
 
-/// How one daemon follows one topic, or the lease.
+/// How one daemon follows one topic or the lease.
 #[derive(Debug)]
 pub struct Watch {
     tracked: Tracked,
@@ -119,7 +119,7 @@
         Self { tracked, next, wait: Duration::ZERO, idle_until: Time::ZERO, pending: None }
     }
 
-    /// Asks, waits, or takes an answer in, which is returned for the node.
+    /// Starts a read, waits, or handles an answer, which is returned as a message for the node.
     pub fn step(
         &mut self,
         now: Time,
@@ -166,7 +166,7 @@
             return;
         }
         let from = match self.tracked {
-            // What peers told needs no reading.
+            // Records that peers sent need not be read.
             Tracked::Topic(topic) => self.next.map(|next| next.max(node.end(topic))),
             Tracked::Lease => Some(node.next_lease()),
         };
@@ -228,7 +228,7 @@
 }
 
 impl PendingRead {
-    /// What the store answers now; nothing while it waits, or reads the second page.
+    /// Returns the store's answer; `None` while it waits for a record or reads the second page.
     fn poll_store(
         &mut self,
         now: Time,
