--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -141,7 +141,7 @@
             let unread = unread.map_or(0, |since| ms(now.saturating_sub(*since)));
             figures.push(Figure::of("unread_ms", "topic", tracked.name(), unread));
         }
-        for (id, heard) in self.heard_peers() {
+        for (id, heard) in self.peers_heard() {
             let age = ms(now.saturating_sub(heard));
             figures.push(Figure::of("peer_age_ms", "peer", id, age));
         }
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -45,8 +45,8 @@
             return;
         }
         let standing = (cores > 0.0).then(|| Standing::of(&id, cores));
-        match self.peers.get_mut(&id).filter(|known| known.address == address) {
-            Some(known) => known.standing = standing.or(known.standing),
+        match self.peers.get_mut(&id).filter(|peer| peer.address == address) {
+            Some(peer) => peer.standing = standing.or(peer.standing),
             None => {
                 self.peers.remove(&address.to_string());
                 self.peers.insert(id, Peer::new(address, standing));
@@ -66,7 +66,7 @@
     }
 
     /// Peers that sent a digest, with the time of the last one.
-    pub(super) fn heard_peers(&self) -> impl Iterator<Item = (&str, Time)> {
+    pub(super) fn peers_heard(&self) -> impl Iterator<Item = (&str, Time)> {
         self.peers.iter().filter_map(|(id, peer)| Some((id.as_str(), peer.heard_at?)))
     }
 
@@ -149,9 +149,9 @@
     /// have waited longest.
     fn due_peers(&self, now: Time, schedules: bool) -> (Vec<String>, Vec<String>) {
         let (mut schedulers, mut others) = (Vec::new(), Vec::new());
-        let ranking: BTreeSet<&String> = self.other_schedulers().map(|(id, _)| id).collect();
+        let scheduler_ids: BTreeSet<&String> = self.other_schedulers().map(|(id, _)| id).collect();
         for (id, peer) in &self.peers {
-            let interval = match (peer.is_fresh(now), ranking.contains(id)) {
+            let interval = match (peer.is_fresh(now), scheduler_ids.contains(id)) {
                 (_, true) => Duration::ZERO,
                 (true, false) if self.draining => Duration::ZERO,
                 (true, false) => DIGEST_INTERVAL * ANNOUNCEMENT_INTERVALS,
@@ -161,7 +161,7 @@
             if peer.sent_at.is_some_and(|sent| now + DIGEST_INTERVAL / 5 < sent + interval) {
                 continue;
             }
-            let due = if ranking.contains(id) { &mut schedulers } else { &mut others };
+            let due = if scheduler_ids.contains(id) { &mut schedulers } else { &mut others };
             due.push((peer.sent_at, id));
         }
         if !schedules && !self.draining {
@@ -208,8 +208,8 @@
         match frame {
             Frame::Digest(digest) => self.handle_digest(now, *digest),
             Frame::Notice(notice) => self.notice_came(now, notice),
-            Frame::Held(told) => self.handle_residency_update(now, &told),
-            Frame::AskHeld(daemon, keeper) => self.send_full_residency(&daemon, keeper),
+            Frame::Held(update) => self.handle_residency_update(now, &update),
+            Frame::AskHeld(daemon, holder) => self.send_full_residency(&daemon, holder),
             Frame::Submission(submission) => self.submission_came(now, *submission),
             Frame::Progress(progress) => self.progress_came(now, progress),
             Frame::Verdict(verdict) => self.verdict_came(now, *verdict),
@@ -242,9 +242,9 @@
     }
 
     /// Applies records of a topic from a peer, which may complete the topic.
-    fn apply_from_peer(&mut self, topic: Topic, take: impl FnOnce(&mut Self)) {
+    fn apply_from_peer(&mut self, topic: Topic, apply: impl FnOnce(&mut Self)) {
         let was_known = self.known.contains(&topic);
-        take(self);
+        apply(self);
         if !was_known && self.known.contains(&topic) {
             let records = self.catalog.since(topic, 0).len();
             let detail = Detail::of("topic", format!("{topic:?}")).and("records", records);
@@ -283,26 +283,25 @@
         // from that of the last send.
         self.refill_link(now);
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
-            let known =
-                peer.digest.as_ref().filter(|known| known.incarnation == digest.incarnation);
-            let moved = known.map(|known| digest.link_moved.saturating_sub(known.link_moved));
+            let last = peer.digest.as_ref().filter(|last| last.incarnation == digest.incarnation);
+            let moved = last.map(|last| digest.link_moved.saturating_sub(last.link_moved));
             self.link.deduct(moved.unwrap_or_default());
             let restarted =
-                peer.digest.as_ref().is_some_and(|known| known.incarnation != digest.incarnation);
+                peer.digest.as_ref().is_some_and(|last| last.incarnation != digest.incarnation);
             peer.heard_at = Some(now);
             if !digest.heat.is_empty() {
                 peer.heat = digest.heat.iter().copied().collect();
                 peer.heat_at = now;
             }
             let (daemon, incarnation) = (digest.daemon.clone(), digest.incarnation);
-            let told_before = peer.digest.as_ref().is_some_and(|known| !known.named.is_empty());
-            self.rollout.named_is_stale |= told_before || !digest.named.is_empty();
+            let reported_before = peer.digest.as_ref().is_some_and(|last| !last.named.is_empty());
+            self.rollout.named_is_stale |= reported_before || !digest.named.is_empty();
             peer.record_digest(now, &digest);
             let delay = peer.digest_delay();
-            let told =
+            let report =
                 (digest.ends.get(Topic::Operator as usize).copied(), digest.missed_nothing_for);
             peer.digest = Some(digest);
-            self.apply_peer_completeness(now, told, delay);
+            self.apply_peer_completeness(now, report, delay);
             if restarted {
                 self.has_restarted(now, &daemon, incarnation);
             }
@@ -337,8 +336,8 @@
 
     /// Milliseconds of work per second for a part, summed over the peers that reported it recently.
     pub(super) fn peer_heat(&self, now: Time, part: u64) -> f64 {
-        let told = self.peers.values().filter(|peer| now < peer.heat_at + HEAT_LIFETIME);
-        told.filter_map(|peer| peer.heat.get(&part)).map(|work_ms| f64::from(*work_ms)).sum()
+        let recent = self.peers.values().filter(|peer| now < peer.heat_at + HEAT_LIFETIME);
+        recent.filter_map(|peer| peer.heat.get(&part)).map(|work_ms| f64::from(*work_ms)).sum()
     }
 
     /// Sums the load of peers at each server, if any of it changed: many digests arrive between two
@@ -349,10 +348,10 @@
         }
         self.others.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
-            let (Some(digest), Some(told)) = (&peer.digest, peer.heard_at) else { continue };
+            let (Some(digest), Some(heard_at)) = (&peer.digest, peer.heard_at) else { continue };
             for (life, busy) in &digest.busy {
                 if let Some(key) = self.lives.server(life) {
-                    self.others.entry(key).or_default().add(told, busy);
+                    self.others.entry(key).or_default().add(heard_at, busy);
                 }
             }
         }
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -67,8 +67,8 @@
     pub(super) fn record_digest(&mut self, now: Time, digest: &Digest) {
         let millis = |time: Time| i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
         let last_ms = millis(now).saturating_sub(millis(digest.sent));
-        let known = self.clock_offset.filter(|offset| offset.incarnation == digest.incarnation);
-        let min_ms = known.map_or(last_ms, |offset| offset.min_ms.min(last_ms));
+        let previous = self.clock_offset.filter(|offset| offset.incarnation == digest.incarnation);
+        let min_ms = previous.map_or(last_ms, |offset| offset.min_ms.min(last_ms));
         self.clock_offset = Some(ClockOffset { incarnation: digest.incarnation, min_ms, last_ms });
     }
 
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -258,7 +258,7 @@
             salt: Some(salt.to_owned()),
             weights: Some(version),
             fetch_from: source.map(|source| source.address),
-            from_store: supply.source.as_ref().is_some_and(|s| s.place == Location::Store),
+            from_store: supply.source.as_ref().is_some_and(|s| s.location == Location::Store),
             save_to: None,
             moved_bytes: 0.0,
             at_home: role == Role::Home,
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -141,7 +141,7 @@
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
             Change::Router { id, address, cores } => self.register_peer(now, id, address, cores),
-            Change::Blocked(told) => self.block_kept(now, told),
+            Change::Blocked(blocked) => self.block_kept(now, blocked),
             Change::Unblocked(fingerprint) => self.block_gone(now, fingerprint),
             Change::Nothing => {}
         }
--- a/src/fleet/residency/held.rs
+++ b/src/fleet/residency/held.rs
@@ -143,15 +143,15 @@
 
     /// Applies events that this daemon read.
     pub(in crate::fleet) fn apply_events(&mut self, now: Time, batch: &EventBatch) -> Outcome {
-        let known = self.epoch == Some(batch.epoch);
-        if !known && self.next > 0 {
+        let same_epoch = self.epoch == Some(batch.epoch);
+        if !same_epoch && self.next > 0 {
             // The holder has restarted, so its events before the requested number are missing. Read
             // them from the start and report all parts.
             (self.epoch, self.next) = (None, 0);
             self.parts.clear();
             return Outcome::Gap;
         }
-        let full = !known || batch.has_gap;
+        let full = !same_epoch || batch.has_gap;
         if full {
             self.parts.clear();
         }
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -74,7 +74,7 @@
         &mut self,
         now: Time,
         location: Location,
-        read: Option<&EventBatch>,
+        batch: Option<&EventBatch>,
     ) {
         if self.residency(location).is_none() {
             // The server has been removed.
@@ -83,17 +83,17 @@
         let interval = self.read_interval();
         let poll = self.readings.entry(location).or_default();
         poll.started_at = None;
-        let Some(read) = read else {
+        let Some(batch) = batch else {
             poll.due_at = now + READ_RETRY_DELAY;
-            if let Some(held) = self.residency_mut(location) {
-                held.mark_unreadable();
+            if let Some(residency) = self.residency_mut(location) {
+                residency.mark_unreadable();
             }
             return;
         };
         poll.due_at = now + interval;
         let heartbeat_due = now >= poll.update_sent_at + HEARTBEAT_INTERVAL;
-        let Some(held) = self.residency_mut(location) else { return };
-        match held.apply_events(now, read) {
+        let Some(residency) = self.residency_mut(location) else { return };
+        match residency.apply_events(now, batch) {
             Outcome::Gap => {
                 if let Some(poll) = self.readings.get_mut(&location) {
                     poll.due_at = now;
@@ -109,14 +109,14 @@
     /// Handles a peer's update from events that the peer reads.
     pub(in crate::fleet) fn handle_residency_update(&mut self, now: Time, update: &Update) {
         let Some(location) = self.location_of(&update.holder) else { return };
-        let reads = self.readings.get(&location).is_some_and(|poll| poll.started_at.is_some());
-        if reads {
+        let is_reading = self.readings.get(&location).is_some_and(|poll| poll.started_at.is_some());
+        if is_reading {
             // Two daemons briefly read the same events during a handover; this daemon's own read is
             // newer.
             return;
         }
-        let Some(held) = self.residency_mut(location) else { return };
-        if held.apply_update(now, update) != Outcome::Gap {
+        let Some(residency) = self.residency_mut(location) else { return };
+        if residency.apply_update(now, update) != Outcome::Gap {
             return;
         }
         let poll = self.readings.entry(location).or_default();
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -23,7 +23,7 @@
 /// A holder of some of a prompt's shared parts.
 #[derive(Debug, Clone, PartialEq)]
 pub(in crate::fleet) struct Source {
-    pub(in crate::fleet) place: Location,
+    pub(in crate::fleet) location: Location,
     pub(in crate::fleet) address: SocketAddr,
     /// Tokens of the prompt's prefix that it holds.
     tokens: u32,
@@ -71,7 +71,8 @@
         shared: u32,
     ) -> FetchPlan {
         let prefill_all = FetchPlan { prefill_tokens: shared - held, ..FetchPlan::default() };
-        let others = self.sources.iter().filter(|source| source.place != Location::Engine(server));
+        let others =
+            self.sources.iter().filter(|source| source.location != Location::Engine(server));
         let candidates =
             others.filter(|source| source.tokens >= held.saturating_add(MIN_FETCH_TOKENS));
         let plans = candidates.map(|source| {
@@ -79,7 +80,7 @@
             let transfer_ms =
                 f64::from(fetched) * self.token_bytes / source.link_bytes_per_s * 1_000.0;
             let zone_factor = zone_factor(&source.zone, zone);
-            let delay_ms = match source.place {
+            let delay_ms = match source.location {
                 Location::Store => self.store_delay_ms,
                 Location::Engine(_) => 0.0,
             };
@@ -107,11 +108,11 @@
         &self,
         server: server::Key,
         zone: &str,
-        read: u32,
+        prefill_tokens: u32,
     ) -> Option<Source> {
-        let others = self.sources.iter().filter(|source| match source.place {
+        let others = self.sources.iter().filter(|source| match source.location {
             Location::Engine(key) => key != server,
-            Location::Store => read == 0,
+            Location::Store => prefill_tokens == 0,
         });
         let rank =
             |source: &&Source| (source.unconfirmed, u32::MAX - source.tokens, source.zone != zone);
@@ -157,7 +158,7 @@
                 })
             };
             Some(Source {
-                place: Location::Engine(*key),
+                location: Location::Engine(*key),
                 address: server.entry.address,
                 tokens: held,
                 link_bytes_per_s: engine.link as f64,
@@ -168,7 +169,7 @@
         let token_bytes = engine.token_bytes as f64;
         let mut sources: Vec<Source> =
             engines.filter(|source| source.tokens >= MIN_FETCH_TOKENS).collect();
-        let rank = |source: &Source| match source.place {
+        let rank = |source: &Source| match source.location {
             Location::Engine(key) => homes.rank(key).unwrap_or(usize::MAX),
             Location::Store => usize::MAX,
         };
@@ -191,7 +192,7 @@
         });
         let has_room = self.link.has_room(f64::from(tokens) * token_bytes);
         (tokens >= MIN_FETCH_TOKENS && has_room).then_some(Source {
-            place: Location::Store,
+            location: Location::Store,
             address: store.address,
             tokens,
             link_bytes_per_s: store.link as f64,
