--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -114,8 +114,8 @@
             .collect()
     }
 
-    /// Records that a snapshot of a topic as of offset `to` was applied; it contains no tombstones
-    /// for earlier removals.
+    /// Records that a snapshot of a topic as of offset `to` was applied; it lists no earlier
+    /// removals.
     pub fn mark_snapshot(&mut self, topic: Topic, to: u64) {
         let state = self.topics.entry(topic).or_default();
         if to > state.end {
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -100,10 +100,10 @@
         best.filter(|best| cost(best) < cost(&prefill_all)).unwrap_or(prefill_all)
     }
 
-    /// Returns the source named to `server` if it has to compute `read` tokens, or in case it has
-    /// evicted what it should hold; a failed fetch costs it a millisecond. An engine is named even
-    /// if computing was cheaper, because computing evicts more. The KV store is not named then,
-    /// because its link has a queue.
+    /// Returns the source named to `server` if it has to compute `prefill_tokens`, or in case it
+    /// has evicted what it should hold; a failed fetch costs it a millisecond. An engine is named
+    /// even if computing was cheaper, because computing evicts more. The KV store is not named
+    /// then, because its link has a queue.
     pub(in crate::fleet) fn fallback_source(
         &self,
         server: server::Key,
@@ -211,9 +211,9 @@
         }
     }
 
-    /// Returns where an engine saves the parts that it computes, and how many bytes that transfers.
-    /// This is the KV store, if it lacks shared parts of the prompt that are not in transit and its
-    /// link has capacity for the whole prompt.
+    /// Returns where an engine saves the parts that it computes, and how many bytes of the link
+    /// that takes. This is the KV store, if it lacks shared parts of the prompt that are not in
+    /// transit and its link has capacity for the whole prompt.
     pub(in crate::fleet) fn save_target(
         &self,
         now: Time,
--- a/src/fleet/residency/store.rs
+++ b/src/fleet/residency/store.rs
@@ -96,7 +96,7 @@
         self.held.is_current(now)
     }
 
-    /// Records that an engine was told to send a part to the store.
+    /// Records that an engine was instructed to save a part to the store.
     pub(in crate::fleet) fn mark_in_transit(&mut self, now: Time, salt: &str, part: u64) {
         if self.in_transit.len() >= MAX_IN_TRANSIT {
             self.in_transit.retain(|_, at| now < *at + TRANSIT_TIMEOUT);
