--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -3,7 +3,7 @@
 
 use super::place::Choice;
 use super::request::{Phase, Request};
-use super::{Dispatch, Key, Loss, Node, Refused, Topic, Tracked, server};
+use super::{Dependency, Dispatch, Key, Loss, Node, Refusal, Topic, server};
 use crate::prelude::*;
 
 impl Loss {
@@ -25,7 +25,7 @@
 
     /// The same, with the request's newest attempt and the server that it went to.
     fn about_attempt(&self, request: &Request, server: server::Key) -> Detail {
-        let id = self.servers.get(server).map_or("", |server| server.entry.life.id.as_str());
+        let id = self.servers.get(server).map_or("", |server| server.entry.incarnation.id.as_str());
         Self::about(request).and("attempt", request.sends).and("server", id)
     }
 
@@ -33,7 +33,7 @@
     /// has not told of servers.
     fn beliefs(&self, now: Time, detail: Detail) -> Detail {
         let table = self.table.as_ref().map_or(0, |table| table.version());
-        let unread = self.unread_since.get(&Tracked::Topic(Topic::Servers));
+        let unread = self.unread_since.get(&Dependency::Topic(Topic::Servers));
         detail
             .and("table", table)
             .and_some("servers_unread_ms", unread.map(|since| now.saturating_sub(*since)))
@@ -46,20 +46,20 @@
         let load = self.load(choice.server, server);
         let detail = Self::about(request)
             .and("attempt", request.sends)
-            .and("server", server.entry.life.id.as_str())
+            .and("server", server.entry.incarnation.id.as_str())
             .and("address", server.entry.address)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("cost_ms", choice.cost_ms.round())
-            .and("read_tokens", choice.tokens)
-            .and("held_tokens", choice.held)
-            .and("fetched_tokens", choice.fetched)
-            .and_some("events_ms_ago", server.held.age(now))
+            .and("read_tokens", choice.read_tokens)
+            .and("held_tokens", choice.held_tokens)
+            .and("fetched_tokens", choice.fetched_tokens)
+            .and_some("events_ms_ago", server.residency.age(now))
             .and("running", load.running)
             .and("running_here", server.running)
-            .and_some("told_ms_ago", load.told_at().map(|at| now.saturating_sub(at)))
+            .and_some("told_ms_ago", load.reported_at().map(|at| now.saturating_sub(at)))
             .and_some("weights", choice.weights)
             .and_some("overtaken_ms", self.overtaken(now, request, choice.weights))
-            .and("home", choice.at_home)
+            .and("home", choice.is_home)
             .and_some("fetch_from", choice.fetch_from)
             .and("save", choice.save_to.is_some());
         let detail = self.beliefs(now, detail);
@@ -84,7 +84,7 @@
     /// believes.
     fn overtaken(&self, now: Time, request: &Request, weights: Option<u64>) -> Option<Duration> {
         let prompt = request.arrival.prompt.as_ref()?;
-        self.overtaken_for(now, &prompt.model, weights?)
+        self.superseded_for(now, &prompt.model, weights?)
     }
 
     /// Logs that the answer to a request began that was sent at time `at`.
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn log_refused(&mut self, now: Time, key: Key, code: Code, after: Duration) {
-        *self.refused.entry(code).or_default() += 1;
+        *self.refusals.entry(code).or_default() += 1;
         let Some(request) = self.requests.get(&key) else { return };
         let waited = match request.phase {
             Phase::Waiting(since) => now.saturating_sub(since),
@@ -144,12 +144,12 @@
         self.event(Event::AttemptFailed, detail);
     }
 
-    pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refused) {
+    pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refusal) {
         let Some(request) = self.requests.get(&key) else { return };
         let (reason, weights) = match refused {
-            Refused::Busy => ("it has no room, or is leaving or loading", None),
-            Refused::Gone => ("another server has its address", None),
-            Refused::Weights(version) => ("its weights are of another version", version),
+            Refusal::Busy => ("it has no room, or is leaving or loading", None),
+            Refusal::Gone => ("another server has its address", None),
+            Refusal::Weights(version) => ("its weights are of another version", version),
         };
         let detail =
             self.about_attempt(request, server).and("reason", reason).and_some("weights", weights);
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use super::peer::{DIGEST_INTERVAL, Peer};
-use super::scheduling::Standing;
-use super::{Batch, Busy, Digest, Effect, Frame, Life, Node, Topic};
+use super::scheduling::Rank;
+use super::{Batch, Digest, Effect, Frame, Incarnation, Node, Topic, Workload};
 use crate::prelude::*;
 
 /// Minimum number of peers that receive a daemon's digest, including the schedulers. Records and
@@ -44,7 +44,7 @@
         if id == self.identity.id {
             return;
         }
-        let standing = (cores > 0.0).then(|| Standing::of(&id, cores));
+        let standing = (cores > 0.0).then(|| Rank::new(&id, cores));
         match self.peers.get_mut(&id).filter(|peer| peer.address == address) {
             Some(peer) => peer.standing = standing.or(peer.standing),
             None => {
@@ -62,7 +62,11 @@
 
     /// Number of daemons that share the retry budget.
     pub(super) fn daemon_count(&self) -> usize {
-        if self.known.contains(&Topic::Routers) { self.peers.len() + 1 } else { ASSUMED_DAEMONS }
+        if self.known_topics.contains(&Topic::Routers) {
+            self.peers.len() + 1
+        } else {
+            ASSUMED_DAEMONS
+        }
     }
 
     /// Peers that sent a digest, with the time of the last one.
@@ -89,7 +93,7 @@
     pub(super) fn gossip(&mut self, now: Time) {
         if now >= self.next_digest {
             // Load of peers that have gone silent no longer counts.
-            self.others_are_stale = true;
+            self.peer_loads_stale = true;
             self.send_digests(now);
         }
         self.request_missing_records(now);
@@ -98,14 +102,14 @@
     /// Sends a digest: a scheduler to all peers, any other daemon to the schedulers and a few
     /// others.
     pub(super) fn send_digests(&mut self, now: Time) {
-        self.rollout.seen.retain(|(.., at)| now < *at + SEEN_WEIGHTS_LIFETIME);
+        self.rollout.observed.retain(|(.., at)| now < *at + SEEN_WEIGHTS_LIFETIME);
         let schedules = self.is_scheduler(now);
         let interval = if schedules { DIGEST_INTERVAL } else { self.digest_interval() };
         self.next_digest = now + interval;
         let (schedulers, others) = self.due_peers(now, schedules);
         let mut digest = Digest { interval, ..self.digest(now) };
-        if now >= self.next_heat {
-            self.next_heat = now + HEAT_INTERVAL;
+        if now >= self.next_heat_digest {
+            self.next_heat_digest = now + HEAT_INTERVAL;
             let hottest = self.heat.top(now, MAX_HOT_PARTS).into_iter();
             digest.heat = hottest.map(|(part, work_ms)| (part.0, work_ms as f32)).collect();
         }
@@ -177,9 +181,9 @@
         let busy = self
             .servers
             .values()
-            .filter(|server| server.running > 0 || server.ordered.is_some())
-            .map(|server| (server.entry.life.clone(), server.busy(now)));
-        let seen = self.rollout.seen.iter();
+            .filter(|server| server.running > 0 || server.order.is_some())
+            .map(|server| (server.entry.incarnation.clone(), server.busy(now)));
+        let seen = self.rollout.observed.iter();
         Digest {
             daemon: self.identity.id.clone(),
             address: self.identity.address.to_string(),
@@ -193,12 +197,12 @@
             weights: seen.map(|(life, model, v, _)| (life.clone(), model.clone(), *v)).collect(),
             heat: Vec::new(),
             refused: self.expected.own(),
-            link_moved: self.link.moved_bytes(),
-            blocked: self.poison.unkept(now),
+            link_moved: self.kv_link.moved_bytes(),
+            blocked: self.poison.unstored_blocks(now),
             sent: now,
-            named: self.rollout.seen_named.told(now, self.policy.weights_limit),
-            missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
-            keeper: self.keeping.name().to_owned(),
+            named: self.rollout.own_namings.recent(now, self.policy.weights_limit),
+            missed_nothing_for: self.rollout.complete_until.map(|at| now.saturating_sub(at)),
+            keeper: self.quota_leadership.name().to_owned(),
             used: self.quota.used(now),
         }
     }
@@ -207,12 +211,12 @@
     pub(super) fn handle_frame(&mut self, now: Time, frame: Frame) {
         match frame {
             Frame::Digest(digest) => self.handle_digest(now, *digest),
-            Frame::Notice(notice) => self.notice_came(now, notice),
+            Frame::Notice(notice) => self.apply_notice(now, notice),
             Frame::Held(update) => self.handle_residency_update(now, &update),
             Frame::AskHeld(daemon, holder) => self.send_full_residency(&daemon, holder),
-            Frame::Submission(submission) => self.submission_came(now, *submission),
-            Frame::Progress(progress) => self.progress_came(now, progress),
-            Frame::Verdict(verdict) => self.verdict_came(now, *verdict),
+            Frame::Submission(submission) => self.handle_submission(now, *submission),
+            Frame::Progress(progress) => self.handle_progress(now, progress),
+            Frame::Verdict(verdict) => self.handle_verdict(now, *verdict),
             Frame::Poison(message) => self.poison_came(now, message),
             Frame::Ask(daemon, topic, from) => self.send_records(&daemon, topic, from),
             Frame::Records(batch) => {
@@ -227,7 +231,7 @@
     /// Sends a peer the records of a topic from an offset.
     fn send_records(&mut self, daemon: &str, topic: Topic, from: u64) {
         let Some(peer) = self.peers.get(daemon) else { return };
-        if !self.known.contains(&topic) {
+        if !self.known_topics.contains(&topic) {
             return;
         }
         let to = self.catalog.end(topic);
@@ -243,9 +247,9 @@
 
     /// Applies records of a topic from a peer, which may complete the topic.
     fn apply_from_peer(&mut self, topic: Topic, apply: impl FnOnce(&mut Self)) {
-        let was_known = self.known.contains(&topic);
+        let was_known = self.known_topics.contains(&topic);
         apply(self);
-        if !was_known && self.known.contains(&topic) {
+        if !was_known && self.known_topics.contains(&topic) {
             let records = self.catalog.since(topic, 0).len();
             let detail = Detail::of("topic", format!("{topic:?}")).and("records", records);
             self.event(Event::SnapshotTaken, detail);
@@ -272,11 +276,11 @@
             self.register_peer(now, digest.daemon.clone(), address, digest.cores);
         }
         for (life, model, version) in &digest.weights {
-            if let Some(key) = self.lives.server(life) {
-                self.saw_weights(now, key, model, *version);
+            if let Some(key) = self.incarnations.server(life) {
+                self.note_weights(now, key, model, *version);
             }
         }
-        self.expected.hear(now, &digest.refused);
+        self.expected.merge_peer(now, &digest.refused);
         self.hear_blocked(now, &digest.blocked);
         self.hear_used(now, &digest);
         // Refill first, so that the peer's transfers are deducted from the current budget and not
@@ -285,7 +289,7 @@
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
             let last = peer.digest.as_ref().filter(|last| last.incarnation == digest.incarnation);
             let moved = last.map(|last| digest.link_moved.saturating_sub(last.link_moved));
-            self.link.deduct(moved.unwrap_or_default());
+            self.kv_link.deduct(moved.unwrap_or_default());
             let restarted =
                 peer.digest.as_ref().is_some_and(|last| last.incarnation != digest.incarnation);
             peer.heard_at = Some(now);
@@ -295,7 +299,7 @@
             }
             let (daemon, incarnation) = (digest.daemon.clone(), digest.incarnation);
             let reported_before = peer.digest.as_ref().is_some_and(|last| !last.named.is_empty());
-            self.rollout.named_is_stale |= reported_before || !digest.named.is_empty();
+            self.rollout.merge_is_stale |= reported_before || !digest.named.is_empty();
             peer.record_digest(now, &digest);
             let delay = peer.digest_delay();
             let report =
@@ -303,10 +307,10 @@
             peer.digest = Some(digest);
             self.apply_peer_completeness(now, report, delay);
             if restarted {
-                self.has_restarted(now, &daemon, incarnation);
+                self.drop_past_incarnations(now, &daemon, incarnation);
             }
         }
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Applies a peer's report of when it last had every operator record, if this daemon has all
@@ -321,17 +325,17 @@
         // A time before this daemon's clock started says nothing about the time since.
         let at = age.and_then(|age| now.checked_sub(age.saturating_add(delay)));
         if let Some(at) = at.filter(|_| !ahead && self.has_all_operator_records()) {
-            self.missed_nothing(at);
+            self.note_complete_until(at);
         }
     }
 
     /// Sets a peer's current load at one server.
-    pub(super) fn set_peer_load(&mut self, daemon: &str, life: Life, busy: Busy) {
+    pub(super) fn set_peer_load(&mut self, daemon: &str, life: Incarnation, busy: Workload) {
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
         digest.busy.insert(life, busy);
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Milliseconds of work per second for a part, summed over the peers that reported it recently.
@@ -343,15 +347,15 @@
     /// Sums the load of peers at each server, if any of it changed: many digests arrive between two
     /// requests.
     pub(super) fn sum_peer_load(&mut self, now: Time) {
-        if !std::mem::take(&mut self.others_are_stale) {
+        if !std::mem::take(&mut self.peer_loads_stale) {
             return;
         }
-        self.others.clear();
+        self.peer_loads.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
             let (Some(digest), Some(heard_at)) = (&peer.digest, peer.heard_at) else { continue };
             for (life, busy) in &digest.busy {
-                if let Some(key) = self.lives.server(life) {
-                    self.others.entry(key).or_default().add(heard_at, busy);
+                if let Some(key) = self.incarnations.server(life) {
+                    self.peer_loads.entry(key).or_default().add(heard_at, busy);
                 }
             }
         }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{Batch, Entry, EventBatch, Frame, Location, Prompt, Topic, server};
-use crate::poison::{Answer, Blocked, Fingerprint, Victim};
+use crate::poison::{Answer, Blocked, Fingerprint, Incarnation};
 use crate::prelude::*;
 use crate::route::{Route, Table, Workspace};
 
@@ -32,7 +32,7 @@
 
 /// Why a server did not run a request, by its own word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum Refusal {
     /// It has no room, or is leaving or loading.
     Busy,
     /// Another server has its address.
@@ -58,7 +58,7 @@
     /// The answer ended well.
     Ended,
     /// The server refused and did not run it.
-    Refused(Refused),
+    Refused(Refusal),
     /// No byte of the request left: it provably did not run.
     Unsent,
     /// It was sent, and no whole answer came.
@@ -183,14 +183,14 @@
 
 /// A dependency that is lost and regained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Tracked {
+pub enum Dependency {
     /// Reads of this topic.
     Topic(Topic),
     /// Reads of the lease.
     Lease,
 }
 
-impl Tracked {
+impl Dependency {
     /// All of them.
     pub const ALL: [Self; 4] = [
         Self::Topic(Topic::Operator),
@@ -199,7 +199,7 @@
         Self::Lease,
     ];
 
-    /// Its place in [`Tracked::ALL`].
+    /// Its place in [`Dependency::ALL`].
     pub const fn index(self) -> usize {
         match self {
             Self::Topic(topic) => topic as usize,
@@ -237,7 +237,7 @@
     /// A topic was read.
     Read(Read),
     /// What is tracked could not be read, and why.
-    Down(Tracked, String),
+    Down(Dependency, String),
     /// Records of the lease were read: the oldest offset that is left, and each with its own.
     Lease(u64, Vec<(u64, String)>),
     /// An order to an engine ended.
@@ -247,7 +247,7 @@
     /// Events of what keeps parts were read, or could not be.
     Events(Location, Option<EventBatch>),
     /// A look was taken at the port of a server that may have ended.
-    Probed(Victim, Answer),
+    Probed(Incarnation, Answer),
     /// A frame came from a peer.
     Frame(Frame),
     /// A planned stop was asked for.
@@ -294,7 +294,7 @@
         since: u64,
     },
     /// Look whether somebody listens where a server did that may have ended.
-    Probe(Victim, SocketAddr),
+    Probe(Incarnation, SocketAddr),
     /// Have the platform's store keep that a request has been blocked for so long, or no longer is.
     WriteBlock(Fingerprint, Option<Duration>),
     /// Give up idle connections to this address: who listened there has ended.
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::scheduling::Standing;
+use super::scheduling::Rank;
 use super::{Digest, Topic};
 use crate::prelude::*;
 
@@ -25,7 +25,7 @@
     /// Address for frames.
     pub(super) address: SocketAddr,
     /// Its rank among the daemons that may schedule; `None` until its VM's size is known.
-    pub(super) standing: Option<Standing>,
+    pub(super) standing: Option<Rank>,
     pub(super) digest: Option<Digest>,
     pub(super) heard_at: Option<Time>,
     /// Since when it has ranked among the schedulers, whether or not it sent a digest.
@@ -42,7 +42,7 @@
 
 impl Peer {
     /// Creates a peer that has not sent a digest yet.
-    pub(super) fn new(address: SocketAddr, standing: Option<Standing>) -> Self {
+    pub(super) fn new(address: SocketAddr, standing: Option<Rank>) -> Self {
         Self {
             address,
             standing,
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -12,7 +12,7 @@
 impl Node {
     /// Notes for each server since when requests wait for its answer, and moves those away that may
     /// be repeated from servers that have fallen silent.
-    pub(super) fn look_at_unanswered(&mut self, now: Time) {
+    pub(super) fn check_unanswered(&mut self, now: Time) {
         self.take_over_late(now);
         for server in self.servers.values_mut() {
             server.unanswered_since = None;
@@ -28,7 +28,7 @@
                 late.push((*key, server));
             }
             if let (Some(prompt), Some(version)) = (&request.arrival.prompt, request.weights)
-                && self.is_too_late(now, &prompt.model, version)
+                && self.needs_recall(now, &prompt.model, version)
             {
                 recalled.push(*key);
             }
@@ -40,7 +40,7 @@
             let silent =
                 self.servers.get(server).map(|state| self.load(server, state).silence(now));
             if silent.is_some_and(|silent| silent >= SILENT_AFTER) {
-                self.move_away(now, key);
+                self.move_request(now, key);
             }
         }
     }
@@ -50,17 +50,17 @@
         let late = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
             let weights = request.arrival.prompt.as_ref().zip(request.weights);
-            placed && weights.is_some_and(|(prompt, v)| self.is_left_too_late(now, &prompt.model, v))
+            placed && weights.is_some_and(|(prompt, v)| self.needs_takeover(now, &prompt.model, v))
         });
         let late: Vec<Key> = late.map(|(key, _)| *key).collect();
         for key in late {
-            self.leave_scheduler(now, key);
+            self.withdraw_from_scheduler(now, key);
         }
     }
 
     /// Takes a request back that must not begin on the weights that it was sent to.
     pub(super) fn recall(&mut self, now: Time, key: Key) {
-        self.move_away(now, key);
+        self.move_request(now, key);
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { at, .. } = request.phase else { return };
         if at == now {
@@ -73,7 +73,7 @@
     }
 
     /// Sends a request elsewhere whose server has fallen silent, where its route allows it.
-    pub(super) fn move_away(&mut self, now: Time, key: Key) {
+    pub(super) fn move_request(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, at, .. } = request.phase else { return };
         let pool = request.pool.clone();
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,9 +1,10 @@
 //! Applies records of the platform's store to the daemon's state.
 
-use super::life::Known;
+use super::incarnation::Known;
 use super::request::{Phase, Request};
 use super::{
-    Batch, Change, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic, Tracked, server,
+    Batch, Change, Dependency, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic,
+    server,
 };
 use crate::prelude::*;
 use crate::route::Table;
@@ -21,7 +22,7 @@
     pub(super) fn handle_read(&mut self, now: Time, read: Read) {
         let Read { batch, whole, asked } = read;
         let topic = batch.topic;
-        self.mark_readable(now, Tracked::Topic(topic));
+        self.mark_readable(now, Dependency::Topic(topic));
         self.read_at.insert(topic, now);
         if whole {
             self.apply_snapshot(now, batch);
@@ -29,14 +30,14 @@
             self.apply_batch(now, batch, true);
         }
         if topic == Topic::Operator && self.has_all_operator_records() {
-            self.missed_nothing(asked);
+            self.note_complete_until(asked);
         }
     }
 
     /// Whether this daemon has every operator record that it knows to exist.
     pub(super) fn has_all_operator_records(&self) -> bool {
         let topic = Topic::Operator;
-        self.known.contains(&topic)
+        self.known_topics.contains(&topic)
             && self.catalog.is_contiguous(topic)
             && !self.behind.contains_key(&topic)
     }
@@ -48,7 +49,7 @@
         self.apply_records(now, topic, &removals);
         self.apply_records(now, topic, &batch.records);
         self.catalog.mark_snapshot(topic, to);
-        self.known.insert(topic);
+        self.known_topics.insert(topic);
     }
 
     /// Applies a batch from the store or from a peer, and optionally forwards it to some peers if
@@ -58,16 +59,16 @@
         // Peers forward new records one by one. After a gap, such a record does not mean the topic
         // is known, and the next read may return older records.
         if self.catalog.advance(batch.topic, batch.from, batch.to) {
-            self.known.insert(batch.topic);
+            self.known_topics.insert(batch.topic);
         }
         if forward && any_new && batch.records.len() <= MAX_FORWARDED_RECORDS {
             self.forward_records(now, batch);
         }
     }
 
-    pub(super) fn mark_unreadable(&mut self, now: Time, tracked: Tracked, reason: &str) {
-        if tracked == Tracked::Topic(Topic::Servers) {
-            self.down_at = Some(now);
+    pub(super) fn mark_unreadable(&mut self, now: Time, tracked: Dependency, reason: &str) {
+        if tracked == Dependency::Topic(Topic::Servers) {
+            self.servers_down_at = Some(now);
         }
         if self.unread_since.contains_key(&tracked) {
             return;
@@ -78,7 +79,7 @@
     }
 
     /// Records that a topic or the lease was read.
-    pub(super) fn mark_readable(&mut self, now: Time, tracked: Tracked) {
+    pub(super) fn mark_readable(&mut self, now: Time, tracked: Dependency) {
         if let Some(since) = self.unread_since.remove(&tracked) {
             let detail =
                 Detail::of("topic", tracked.name()).and("down_ms", now.saturating_sub(since));
@@ -96,7 +97,7 @@
             any_new = true;
             match (self.decode)(topic, record) {
                 Ok(change) => {
-                    self.unreadable.remove(&(topic, record.key.clone()));
+                    self.unreadable_records.remove(&(topic, record.key.clone()));
                     self.apply_change(now, change);
                 }
                 Err(reason) => self.skip_unreadable(now, topic, record, reason),
@@ -104,7 +105,7 @@
         }
         self.catalog.trim();
         if any_new {
-            self.pump(now);
+            self.send_waiting(now);
         }
         any_new
     }
@@ -115,7 +116,7 @@
     fn skip_unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
         self.counts.unreadable += 1;
         if topic == Topic::Servers
-            && let Some(key) = self.lives.registered(&record.key)
+            && let Some(key) = self.incarnations.registered(&record.key)
         {
             self.remove_server(now, key);
         }
@@ -124,20 +125,20 @@
             .and("offset", record.offset)
             .and("reason", reason.as_str());
         let key = (topic, record.key.clone());
-        if self.unreadable.get(&key) == Some(&reason) {
+        if self.unreadable_records.get(&key) == Some(&reason) {
             return;
         }
-        if self.unreadable.len() >= MAX_UNREADABLE_KEYS {
-            self.unreadable.pop_first();
+        if self.unreadable_records.len() >= MAX_UNREADABLE_KEYS {
+            self.unreadable_records.pop_first();
         }
-        self.unreadable.insert(key, reason);
+        self.unreadable_records.insert(key, reason);
         self.event(Event::RecordUnreadable, detail);
     }
 
     fn apply_change(&mut self, now: Time, change: Change) {
         match change {
             Change::Table { table, left_out } => self.apply_table(table, &left_out),
-            Change::Weights { model, version } => self.name_weights(now, &model, version),
+            Change::Weights { model, version } => self.note_naming(now, &model, version),
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
             Change::Router { id, address, cores } => self.register_peer(now, id, address, cores),
@@ -164,7 +165,7 @@
     /// Applies a registration of a known server, a new one, or one that has restarted. A
     /// registration from an ended incarnation is ignored.
     pub(super) fn register(&mut self, now: Time, entry: Entry) {
-        match self.lives.find(&entry.life) {
+        match self.incarnations.find(&entry.incarnation) {
             Known::Ended => {}
             Known::Same(key) => self.update_server(key, entry),
             Known::New => self.add_server(entry),
@@ -174,10 +175,10 @@
 
     fn update_server(&mut self, key: server::Key, entry: Entry) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let was_leaving = server.entry.leaving;
-        let id = entry.life.id.clone();
+        let was_leaving = server.entry.draining;
+        let id = entry.incarnation.id.clone();
         server.update(entry);
-        if server.entry.leaving && !was_leaving {
+        if server.entry.draining && !was_leaving {
             self.event(Event::ServerLeaving, Detail::of("server", id));
         }
     }
@@ -185,17 +186,17 @@
     fn add_server(&mut self, entry: Entry) {
         self.event(
             Event::ServerAdded,
-            Detail::of("server", entry.life.id.as_str())
+            Detail::of("server", entry.incarnation.id.as_str())
                 .and("pool", entry.pool.as_str())
                 .and("address", entry.address)
-                .and("born", entry.life.born),
+                .and("born", entry.incarnation.started_ms),
         );
-        let (life, pool) = (entry.life.clone(), entry.pool.clone());
+        let (life, pool) = (entry.incarnation.clone(), entry.pool.clone());
         let key = self.servers.insert(Server::new(entry));
-        self.lives.begin(&life, key);
+        self.incarnations.begin(&life, key);
         self.pools.entry(pool).or_default().push(key);
         // What peers reported of this incarnation before it was known counts from now on.
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Replaces the state of a restarted server. The requests that it ran ended with the old
@@ -203,7 +204,8 @@
     /// timeout.
     fn replace_restarted(&mut self, now: Time, former: server::Key, entry: Entry) {
         let address = self.servers.get(former).map(|server| server.entry.address);
-        let detail = Detail::of("server", entry.life.id.as_str()).and("born", entry.life.born);
+        let detail = Detail::of("server", entry.incarnation.id.as_str())
+            .and("born", entry.incarnation.started_ms);
         self.event(Event::ServerRestarted, detail);
         let attempts = self.requests.iter().filter_map(|(key, request)| match request.phase {
             Phase::Sent { server, at, .. } if server == former => Some((*key, at)),
@@ -227,10 +229,10 @@
     /// Removes a server whose registration is gone. If the registration may have lapsed only
     /// because the store was down, the server is kept until it has had time to return.
     pub(super) fn unregister(&mut self, now: Time, id: &str) {
-        let Some(key) = self.lives.registered(id) else { return };
-        if self.down_at.is_some_and(|at| now < at + LAPSED_RETURN_TIME) {
+        let Some(key) = self.incarnations.registered(id) else { return };
+        if self.servers_down_at.is_some_and(|at| now < at + LAPSED_RETURN_TIME) {
             if let Some(server) = self.servers.get_mut(key) {
-                server.doubted_at = Some(now);
+                server.unconfirmed_removal_at = Some(now);
             }
             return;
         }
@@ -238,15 +240,15 @@
     }
 
     pub(super) fn remove_lapsed(&mut self, now: Time) {
-        let Some(down_at) = self.down_at else { return };
+        let Some(down_at) = self.servers_down_at else { return };
         if now < down_at + LAPSED_RETURN_TIME {
             return;
         }
-        self.down_at = None;
+        self.servers_down_at = None;
         let lapsed: Vec<server::Key> = self
             .servers
             .iter()
-            .filter(|(_, server)| server.doubted_at.is_some())
+            .filter(|(_, server)| server.unconfirmed_removal_at.is_some())
             .map(|(key, _)| key)
             .collect();
         for key in lapsed {
@@ -256,13 +258,13 @@
 
     pub(super) fn remove_server(&mut self, now: Time, key: server::Key) {
         let Some(server) = self.servers.remove(key) else { return };
-        self.lives.end(&server.entry.life);
+        self.incarnations.end(&server.entry.incarnation);
         self.registration_ended(now, &server);
-        self.others.remove(&key);
-        self.readings.remove(&Location::Engine(key));
+        self.peer_loads.remove(&key);
+        self.event_reads.remove(&Location::Engine(key));
         if let Some(keys) = self.pools.get_mut(&server.entry.pool) {
             keys.retain(|other| *other != key);
         }
-        self.event(Event::ServerRemoved, Detail::of("server", server.entry.life.id));
+        self.event(Event::ServerRemoved, Detail::of("server", server.entry.incarnation.id));
     }
 }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -2,7 +2,7 @@
 
 use super::request::Phase;
 use super::scheduling::Stage;
-use super::{Key, Loss, Node, Refused, Report, server};
+use super::{Key, Loss, Node, Refusal, Report, server};
 use crate::prelude::*;
 
 impl Node {
@@ -19,7 +19,7 @@
         match report {
             Report::Begun(weights) => {
                 if let (Some(model), Some(version)) = (model, weights) {
-                    self.saw_weights(now, server, &model, version);
+                    self.note_weights(now, server, &model, version);
                 }
                 self.note_response(now, server);
                 self.answer_begun(now, key, server, tokens, begun, at);
@@ -28,7 +28,7 @@
                 self.note_response(now, server);
                 self.was_served(now, key);
                 if let Some(server) = self.servers.get_mut(server) {
-                    server.succeeded();
+                    server.record_success();
                 }
                 self.forget(now, key);
             }
@@ -68,7 +68,7 @@
     pub(super) fn note_response(&mut self, now: Time, server: server::Key) {
         self.lives(now, server);
         if let Some(server) = self.servers.get_mut(server) {
-            server.heard_at = Some(now);
+            server.last_answer_at = Some(now);
         }
     }
 
@@ -87,7 +87,7 @@
         self.log_begun(now, key, at);
         if let Some(cost_ms) = self.requests.get(&key).and_then(|request| request.fetch_cost_ms) {
             let waited_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-            self.link.record_delay(now, waited_ms - cost_ms);
+            self.kv_link.record_delay(now, waited_ms - cost_ms);
         }
         if let Some(server) = self.servers.get_mut(server) {
             server.pending_tokens = server.pending_tokens.saturating_sub(tokens);
@@ -95,7 +95,7 @@
         if let Some(request) = self.requests.get_mut(&key) {
             request.phase = Phase::Sent { server, tokens, begun: true, at };
         }
-        self.notice(now, server, tokens, Vec::new());
+        self.send_notice(now, server, tokens, Vec::new());
     }
 
     pub(super) fn note_refusal(
@@ -103,22 +103,22 @@
         now: Time,
         key: server::Key,
         model: Option<&str>,
-        refused: Refused,
+        refused: Refusal,
     ) {
-        if let (Refused::Weights(Some(version)), Some(model)) = (refused, model) {
-            return self.saw_weights(now, key, model, version);
+        if let (Refusal::Weights(Some(version)), Some(model)) = (refused, model) {
+            return self.note_weights(now, key, model, version);
         }
         if let Some(server) = self.servers.get_mut(key) {
             match refused {
-                Refused::Gone => server.failed(now),
-                Refused::Busy | Refused::Weights(_) => server.refused(now),
+                Refusal::Gone => server.record_failure(now),
+                Refusal::Busy | Refusal::Weights(_) => server.refused(now),
             }
         }
     }
 
     fn note_failure(&mut self, now: Time, key: server::Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.failed(now);
+            server.record_failure(now);
         }
     }
 }
--- a/src/fleet/residency/held.rs
+++ b/src/fleet/residency/held.rs
@@ -1,7 +1,7 @@
 //! The parts that one engine or the KV store holds.
 
 use super::Update;
-use crate::fleet::prompt::keyed;
+use crate::fleet::prompt::salted_key;
 use crate::prelude::*;
 
 /// Minimum tokens of a part that is reported to peers. Transferring fewer takes longer than
@@ -158,7 +158,7 @@
         (self.epoch, self.next, self.updated_at) = (Some(batch.epoch), batch.next, Some(now));
         let mut changes = BTreeMap::new();
         for event in &batch.events {
-            let part = keyed(&event.salt, event.part);
+            let part = salted_key(&event.salt, event.part);
             let before = self.set_tokens(part, event.tokens);
             if before.max(event.tokens) >= MIN_REPORTED_TOKENS {
                 changes.insert(part, event.tokens);
--- a/src/fleet/residency/mod.rs
+++ b/src/fleet/residency/mod.rs
@@ -20,7 +20,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Life, server};
+use super::{Incarnation, server};
 
 /// A holder of cached parts, by this daemon's own key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Holder {
     /// An engine, in one incarnation.
-    Engine(Life),
+    Engine(Incarnation),
     /// The KV store at this address.
     Store(SocketAddr),
 }
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -54,7 +54,7 @@
 
     fn read_holder_events(&mut self, now: Time, location: Location) {
         let Some(address) = self.holder_address(location) else { return };
-        let poll = self.readings.entry(location).or_default();
+        let poll = self.event_reads.entry(location).or_default();
         if poll.started_at.is_some_and(|at| now < at + READ_TIMEOUT) || now < poll.due_at {
             return;
         }
@@ -62,7 +62,7 @@
         if !self.is_event_reader(now, location) {
             return;
         }
-        if let Some(poll) = self.readings.get_mut(&location) {
+        if let Some(poll) = self.event_reads.get_mut(&location) {
             poll.started_at = Some(now);
         }
         let since = self.residency(location).map_or(0, Residency::next_event);
@@ -80,8 +80,8 @@
             // The server has been removed.
             return;
         }
-        let interval = self.read_interval();
-        let poll = self.readings.entry(location).or_default();
+        let interval = self.event_read_interval();
+        let poll = self.event_reads.entry(location).or_default();
         poll.started_at = None;
         let Some(batch) = batch else {
             poll.due_at = now + READ_RETRY_DELAY;
@@ -95,7 +95,7 @@
         let Some(residency) = self.residency_mut(location) else { return };
         match residency.apply_events(now, batch) {
             Outcome::Gap => {
-                if let Some(poll) = self.readings.get_mut(&location) {
+                if let Some(poll) = self.event_reads.get_mut(&location) {
                     poll.due_at = now;
                 }
             }
@@ -109,7 +109,7 @@
     /// Handles a peer's update from events that the peer reads.
     pub(in crate::fleet) fn handle_residency_update(&mut self, now: Time, update: &Update) {
         let Some(location) = self.location_of(&update.holder) else { return };
-        let is_reading = self.readings.get(&location).is_some_and(|poll| poll.started_at.is_some());
+        let is_reading = self.event_reads.get(&location).is_some_and(|poll| poll.started_at.is_some());
         if is_reading {
             // Two daemons briefly read the same events during a handover; this daemon's own read is
             // newer.
@@ -119,7 +119,7 @@
         if residency.apply_update(now, update) != Outcome::Gap {
             return;
         }
-        let poll = self.readings.entry(location).or_default();
+        let poll = self.event_reads.entry(location).or_default();
         if now < poll.next_request_at {
             return;
         }
@@ -150,7 +150,7 @@
         changes: Vec<(u64, u32)>,
     ) {
         let Some(holder) = self.holder(location) else { return };
-        if let Some(poll) = self.readings.get_mut(&location) {
+        if let Some(poll) = self.event_reads.get_mut(&location) {
             poll.update_sent_at = now;
         }
         let Some(sequence) = self.residency_mut(location).map(Residency::next_seq) else { return };
@@ -173,15 +173,15 @@
         !self.draining && pool.is_some_and(scheduled)
     }
 
-    fn read_interval(&self) -> Duration {
-        let holders = u32::try_from(self.readings.len()).unwrap_or(u32::MAX);
+    fn event_read_interval(&self) -> Duration {
+        let holders = u32::try_from(self.event_reads.len()).unwrap_or(u32::MAX);
         READ_INTERVAL_PER_HOLDER.saturating_mul(holders).clamp(MIN_READ_INTERVAL, MAX_READ_INTERVAL)
     }
 
     fn holder(&self, location: Location) -> Option<Holder> {
         match location {
             Location::Engine(key) => {
-                self.servers.get(key).map(|server| Holder::Engine(server.entry.life.clone()))
+                self.servers.get(key).map(|server| Holder::Engine(server.entry.incarnation.clone()))
             }
             Location::Store => self.holder_address(location).map(Holder::Store),
         }
@@ -189,7 +189,7 @@
 
     fn location_of(&self, holder: &Holder) -> Option<Location> {
         match holder {
-            Holder::Engine(life) => self.lives.server(life).map(Location::Engine),
+            Holder::Engine(life) => self.incarnations.server(life).map(Location::Engine),
             Holder::Store(address) => {
                 (self.holder_address(Location::Store) == Some(*address)).then_some(Location::Store)
             }
@@ -210,15 +210,15 @@
 
     pub(in crate::fleet) fn residency(&self, location: Location) -> Option<&Residency> {
         match location {
-            Location::Engine(key) => self.servers.get(key).map(|server| &server.held),
-            Location::Store => Some(&self.kept.held),
+            Location::Engine(key) => self.servers.get(key).map(|server| &server.residency),
+            Location::Store => Some(&self.kv_store.held),
         }
     }
 
     fn residency_mut(&mut self, location: Location) -> Option<&mut Residency> {
         match location {
-            Location::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.held),
-            Location::Store => Some(&mut self.kept.held),
+            Location::Engine(key) => self.servers.get_mut(key).map(|server| &mut server.residency),
+            Location::Store => Some(&mut self.kv_store.held),
         }
     }
 }
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -5,7 +5,7 @@
 
 use super::Location;
 use crate::fleet::homes::Homes;
-use crate::fleet::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, shared, shared_tokens};
+use crate::fleet::prompt::{PREFILL_TOKENS_PER_MS, held_tokens, shared_parts, shared_tokens};
 use crate::fleet::{Node, Prompt, server};
 use crate::prelude::*;
 
@@ -146,15 +146,16 @@
         let keys = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
         let engines = keys.iter().filter_map(|key| {
             let server = self.servers.get(*key)?;
-            if server.version(&prompt.model) != Some(version) || server.is_suspect(now) {
+            if server.weights_version(&prompt.model) != Some(version) || server.is_backing_off(now)
+            {
                 return None;
             }
-            let unconfirmed = !server.held.is_current(now) && homes.rank(*key).is_some();
+            let unconfirmed = !server.residency.is_current(now) && homes.rank(*key).is_some();
             let held = if unconfirmed {
                 shared_tokens
             } else {
                 held_tokens(prompt, salt, |part, tokens| {
-                    server.held.confirmed_tokens(now, part, tokens)
+                    server.residency.confirmed_tokens(now, part, tokens)
                 })
             };
             Some(Source {
@@ -175,7 +176,7 @@
         };
         sources.sort_by_key(rank);
         sources.extend(self.store_source(now, prompt, salt, token_bytes));
-        Sources { sources, token_bytes, store_delay_ms: self.link.delay_ms(now) }
+        Sources { sources, token_bytes, store_delay_ms: self.kv_link.delay_ms(now) }
     }
 
     /// Returns the KV store as a source if its link has capacity left.
@@ -186,11 +187,11 @@
         salt: &str,
         token_bytes: f64,
     ) -> Option<Source> {
-        let store = self.table.as_ref()?.kv_store().filter(|_| self.kept.is_up(now))?;
+        let store = self.table.as_ref()?.kv_store().filter(|_| self.kv_store.is_up(now))?;
         let tokens = held_tokens(prompt, salt, |part, tokens| {
-            self.kept.held.confirmed_tokens(now, part, tokens)
+            self.kv_store.held.confirmed_tokens(now, part, tokens)
         });
-        let has_room = self.link.has_room(f64::from(tokens) * token_bytes);
+        let has_room = self.kv_link.has_room(f64::from(tokens) * token_bytes);
         (tokens >= MIN_FETCH_TOKENS && has_room).then_some(Source {
             location: Location::Store,
             address: store.address,
@@ -223,12 +224,12 @@
         zone_factor: f64,
     ) -> Option<(SocketAddr, f64)> {
         let table = self.table.as_ref()?;
-        let store = table.kv_store().filter(|_| self.kept.is_up(now))?;
-        let parts = shared(&prompt.parts);
-        let is_missing = parts.iter().any(|part| !self.kept.will_hold(now, salt, *part));
+        let store = table.kv_store().filter(|_| self.kv_store.is_up(now))?;
+        let parts = shared_parts(&prompt.parts);
+        let is_missing = parts.iter().any(|part| !self.kv_store.will_hold(now, salt, *part));
         let bytes = f64::from(prompt.input) * table.engine(pool)?.token_bytes as f64 * zone_factor;
         let worthwhile =
-            shared_tokens(prompt) >= MIN_FETCH_TOKENS && is_missing && self.link.has_room(bytes);
+            shared_tokens(prompt) >= MIN_FETCH_TOKENS && is_missing && self.kv_link.has_room(bytes);
         worthwhile.then_some((store.address, bytes))
     }
 }
--- a/src/fleet/residency/store.rs
+++ b/src/fleet/residency/store.rs
@@ -3,7 +3,7 @@
 use super::Residency;
 use crate::allowance::Allowance;
 use crate::fleet::Part;
-use crate::fleet::prompt::keyed;
+use crate::fleet::prompt::salted_key;
 use crate::prelude::*;
 
 /// Time after which a part that an engine should have saved is sent again if the store's events
@@ -102,18 +102,18 @@
             self.in_transit.retain(|_, at| now < *at + TRANSIT_TIMEOUT);
         }
         if self.in_transit.len() < MAX_IN_TRANSIT {
-            self.in_transit.insert(keyed(salt, part), now);
+            self.in_transit.insert(salted_key(salt, part), now);
         }
     }
 
     /// Whether the store holds all of a part.
     pub(in crate::fleet) fn holds(&self, now: Time, salt: &str, part: Part) -> bool {
-        self.held.expected_tokens(now, keyed(salt, part.id), part.tokens) == part.tokens
+        self.held.expected_tokens(now, salted_key(salt, part.id), part.tokens) == part.tokens
     }
 
     /// Whether the store holds a part or is being sent it.
     pub(in crate::fleet) fn will_hold(&self, now: Time, salt: &str, part: Part) -> bool {
-        let sent_at = self.in_transit.get(&keyed(salt, part.id));
+        let sent_at = self.in_transit.get(&salted_key(salt, part.id));
         self.holds(now, salt, part) || sent_at.is_some_and(|at| now < *at + TRANSIT_TIMEOUT)
     }
 }
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 
-use super::{Arrival, Command, Effect, Key, Message, Node, Topic, Tracked};
+use super::{Arrival, Command, Dependency, Effect, Key, Message, Node, Topic};
 use crate::clock::Clock;
 use crate::peer::Links;
 use crate::prelude::*;
@@ -47,8 +47,8 @@
     next_lease: AtomicU64,
     /// The offset before which no record is missing, by topic.
     ends: [AtomicU64; Topic::ALL.len()],
-    /// How what is tracked is read, in the order of [`Tracked::ALL`].
-    readings: [Reading; Tracked::ALL.len()],
+    /// How what is tracked is read, in the order of [`Dependency::ALL`].
+    readings: [Reading; Dependency::ALL.len()],
 }
 
 /// How one of what is tracked is to be read.
@@ -168,26 +168,26 @@
     }
 
     /// Time from a read that brought something to the next one.
-    pub fn pace(&self, tracked: Tracked) -> Duration {
+    pub fn pace(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.reading(tracked).pace.load(Ordering::Acquire))
     }
 
     /// Time that a read may wait for a record.
-    pub fn wait(&self, tracked: Tracked) -> Duration {
+    pub fn wait(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.reading(tracked).wait.load(Ordering::Acquire))
     }
 
     /// Time from a read that failed to the next one.
-    pub fn pause(&self, tracked: Tracked) -> Duration {
+    pub fn pause(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.reading(tracked).pause.load(Ordering::Acquire))
     }
 
     /// Whether this daemon is to read what is tracked.
-    pub fn reads(&self, tracked: Tracked) -> bool {
+    pub fn reads(&self, tracked: Dependency) -> bool {
         !self.reading(tracked).left_to_others.load(Ordering::Acquire)
     }
 
-    fn reading(&self, tracked: Tracked) -> &Reading {
+    fn reading(&self, tracked: Dependency) -> &Reading {
         &self.view.readings[tracked.index()]
     }
 }
@@ -211,7 +211,7 @@
                 let effects = self.node.apply(now, Message::Tick);
                 self.carry(effects);
                 self.publish_readings(now);
-                next_tick = now + if self.node.is_pressed() { TICK } else { QUIET_TICK };
+                next_tick = now + if self.node.needs_fast_ticks() { TICK } else { QUIET_TICK };
             }
             self.publish();
             let wait = async {
@@ -228,7 +228,7 @@
             if let Some(last) = letter {
                 self.take(last);
             }
-            if self.node.is_pressed() {
+            if self.node.needs_fast_ticks() {
                 next_tick = next_tick.min(self.control.clock.now() + TICK);
             }
         }
@@ -291,12 +291,12 @@
 
     fn publish_readings(&self, now: Time) {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        for tracked in Tracked::ALL {
+        for tracked in Dependency::ALL {
             let reading = self.control.reading(tracked);
-            reading.left_to_others.store(!self.node.reads(now, tracked), Ordering::Release);
-            reading.pace.store(ms(self.node.pace(now, tracked)), Ordering::Release);
-            reading.wait.store(ms(self.node.wait(now, tracked)), Ordering::Release);
-            reading.pause.store(ms(self.node.pause()), Ordering::Release);
+            reading.left_to_others.store(!self.node.should_read(now, tracked), Ordering::Release);
+            reading.pace.store(ms(self.node.read_interval(now, tracked)), Ordering::Release);
+            reading.wait.store(ms(self.node.max_read_wait(now, tracked)), Ordering::Release);
+            reading.pause.store(ms(self.node.retry_delay()), Ordering::Release);
         }
     }
 
@@ -304,10 +304,10 @@
         let view = &self.control.view;
         view.ready.store(self.node.is_ready(), Ordering::Release);
         view.draining.store(self.node.is_draining(), Ordering::Release);
-        view.open.store(self.node.open(), Ordering::Release);
-        view.next_lease.store(self.node.next_lease(), Ordering::Release);
+        view.open.store(self.node.open_requests(), Ordering::Release);
+        view.next_lease.store(self.node.next_lease_offset(), Ordering::Release);
         for topic in Topic::ALL {
-            view.ends[topic as usize].store(self.node.end(topic), Ordering::Release);
+            view.ends[topic as usize].store(self.node.end_offset(topic), Ordering::Release);
         }
     }
 }
--- a/src/fleet/scheduling/message.rs
+++ b/src/fleet/scheduling/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::fleet::{Key, Life, Prompt, Report};
+use crate::fleet::{Incarnation, Key, Prompt, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
@@ -68,7 +68,7 @@
     /// Counts the scheduler's attempts from 1.
     pub attempt: u32,
     /// The server.
-    pub life: Life,
+    pub life: Incarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// Prompt tokens that it is expected to read.
@@ -85,7 +85,7 @@
 
 /// What a scheduler decided for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ruling {
+pub enum Decision {
     /// It waits for a server.
     Queued,
     /// It is to be sent.
@@ -106,5 +106,5 @@
     /// The request, as the daemon that has it counts.
     pub request: Key,
     /// What was decided.
-    pub ruling: Ruling,
+    pub ruling: Decision,
 }
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -6,7 +6,7 @@
 use crate::quota::Use;
 
 fn digest() -> Digest {
-    let busy = Busy {
+    let busy = Workload {
         running: 3,
         pending_tokens: 700,
         ordered: true,
@@ -22,8 +22,8 @@
         incarnation: u64::MAX,
         draining: true,
         ends: vec![4, 0, 9],
-        busy: BTreeMap::from([(Life::new("server-1", 1_764_000_000_123), busy)]),
-        weights: vec![(Life::new("server-1", 9), "m".into(), 4)],
+        busy: BTreeMap::from([(Incarnation::new("server-1", 1_764_000_000_123), busy)]),
+        weights: vec![(Incarnation::new("server-1", 9), "m".into(), 4)],
         heat: vec![(9, 120.5), (10, 0.0)],
         refused: vec![Fingerprint(7)],
         link_moved: 1 << 40,
@@ -50,13 +50,13 @@
         Frame::Ask("router-1".into(), Topic::Operator, 8),
         Frame::Notice(Notice {
             daemon: "router-1".into(),
-            life: Life::new("server-1", 4),
-            busy: Busy { running: 2, ..Busy::default() },
+            life: Incarnation::new("server-1", 4),
+            busy: Workload { running: 2, ..Workload::default() },
             parts: vec![7, u64::MAX],
         }),
         Frame::Held(Update {
             daemon: "router-1".into(),
-            holder: Holder::Engine(Life::new("server-1", 4)),
+            holder: Holder::Engine(Incarnation::new("server-1", 4)),
             sequence: 9,
             full: true,
             changes: vec![(7, 0), (8, 13_300)],
@@ -64,12 +64,12 @@
         Frame::AskHeld("router-2".into(), Holder::Store(([10, 0, 0, 9], 80).into())),
         Frame::Records(Batch { topic: Topic::Servers, from: 1, to: 3, records: records.clone() }),
         Frame::Snapshot(Batch { topic: Topic::Operator, from: 0, to: 3, records }),
-        Frame::Poison(poison::Message::Strikes(vec![poison::Strike {
+        Frame::Poison(poison::Message::Interruptions(vec![poison::Interruption {
             fingerprint: Fingerprint(u64::MAX),
-            victim: poison::Victim::of("server-1", None),
+            incarnation: poison::Incarnation::of("server-1", None),
             pool: 8,
             servers: 18,
-            ran: Duration::from_millis(140),
+            run_time: Duration::from_millis(140),
             age: Duration::from_millis(70),
         }])),
         Frame::Poison(poison::Message::Served(Fingerprint(0))),
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -110,7 +110,7 @@
     let route = route("engines", Repeat::Resumable, 2);
     let (_, effects) = daemon.arrive(ms(9_000), &route, Some(prompt(1, 2)));
     assert!(commands(&effects).is_empty());
-    let weights = vec![(Life::new("e-1", 0), "m".into(), 2)];
+    let weights = vec![(Incarnation::new("e-1", 0), "m".into(), 2)];
     let digest = Digest {
         daemon: "router-3".into(),
         address: address(3).to_string(),
@@ -158,7 +158,7 @@
     let frame = Frame::Records(batch);
     assert_eq!(forwarded(&daemon.node.apply(ms(1_020), Message::Frame(frame.clone()))), 3);
     assert_eq!(forwarded(&daemon.node.apply(ms(1_030), Message::Frame(frame))), 0);
-    assert_eq!(daemon.node.end(Topic::Servers), 3);
+    assert_eq!(daemon.node.end_offset(Topic::Servers), 3);
 }
 
 #[test]
@@ -167,7 +167,7 @@
     let record = Record { key: "s-9".into(), offset: 8, value: Some(b"plain 19 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 8, to: 9, records: vec![record] };
     daemon.node.apply(ms(1_010), Message::Frame(Frame::Records(batch)));
-    assert_eq!(daemon.node.end(Topic::Servers), 1);
+    assert_eq!(daemon.node.end_offset(Topic::Servers), 1);
     let digest = Digest {
         daemon: "router-002".into(),
         address: address(2).to_string(),
@@ -185,15 +185,15 @@
 
 #[test]
 fn daemons_share_the_reading_of_the_store() {
-    let servers = Tracked::Topic(Topic::Servers);
-    let alone = daemon_with_peers(0, ms(1_000)).node.pace(ms(1_010), servers);
-    let few = daemon_with_peers(6, ms(1_000)).node.pace(ms(1_010), servers);
-    let many = daemon_with_peers(60, ms(1_000)).node.pace(ms(1_010), servers);
+    let servers = Dependency::Topic(Topic::Servers);
+    let alone = daemon_with_peers(0, ms(1_000)).node.read_interval(ms(1_010), servers);
+    let few = daemon_with_peers(6, ms(1_000)).node.read_interval(ms(1_010), servers);
+    let many = daemon_with_peers(60, ms(1_000)).node.read_interval(ms(1_010), servers);
     assert!(alone < few && few < many && many <= ms(1_200), "{alone:?} {few:?} {many:?}");
     // Silent peers no longer share the reads.
-    assert_eq!(daemon_with_peers(60, ms(1_000)).node.pace(ms(9_000), servers), alone);
+    assert_eq!(daemon_with_peers(60, ms(1_000)).node.read_interval(ms(9_000), servers), alone);
     let mut operators = daemon_with_peers(60, ms(1_000));
-    assert_eq!(operators.node.pace(ms(1_010), Tracked::Topic(Topic::Operator)), ms(0));
+    assert_eq!(operators.node.read_interval(ms(1_010), Dependency::Topic(Topic::Operator)), ms(0));
     operators.tick(ms(1_010));
 }
 
@@ -211,19 +211,19 @@
         last.node.apply(ms(1_000), Message::Frame(Frame::Digest(Box::new(digest))));
     }
     last.tick(ms(1_010));
-    assert!(last.node.pace(ms(1_010), Tracked::Lease) > ms(2_000));
+    assert!(last.node.read_interval(ms(1_010), Dependency::Lease) > ms(2_000));
     // All of them go silent, one after the other.
     for now in (1_100..9_000).step_by(100) {
         last.tick(ms(now));
     }
-    assert!(last.node.pace(ms(9_000), Tracked::Lease) < ms(1_000));
+    assert!(last.node.read_interval(ms(9_000), Dependency::Lease) < ms(1_000));
 }
 
 #[test]
 fn lost_and_regained_dependencies_are_logged_once_each() {
     let mut daemon = Daemon::with(1, &[]);
     let mut seen = Vec::new();
-    for tracked in Tracked::ALL {
+    for tracked in Dependency::ALL {
         for at in [100, 400, 700] {
             let message = Message::Down(tracked, "connection refused".into());
             seen.extend(daemon.node.apply(ms(at), message));
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -218,7 +218,7 @@
     for daemon in &mut daemons {
         let servers = daemon.node.servers.values();
         let restarted = servers.filter(|server| server.entry.address == address(holder));
-        let parts: Vec<usize> = restarted.map(|server| server.held.len()).collect();
+        let parts: Vec<usize> = restarted.map(|server| server.residency.len()).collect();
         assert_eq!(parts, [11], "parts from before the restart count, or parts since are missing");
     }
 }
@@ -354,6 +354,6 @@
     for place in asked {
         daemon.node.apply(ms(40), Message::Events(place, None));
     }
-    let left: Vec<Location> = daemon.node.readings.keys().copied().collect();
+    let left: Vec<Location> = daemon.node.event_reads.keys().copied().collect();
     assert_eq!(left, [Location::Store]);
 }
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -106,7 +106,7 @@
 /// How one daemon follows one topic or the lease.
 #[derive(Debug)]
 pub struct Watch {
-    tracked: Tracked,
+    tracked: Dependency,
     next: Option<u64>,
     wait: Duration,
     idle_until: Time,
@@ -114,8 +114,8 @@
 }
 
 impl Watch {
-    pub fn new(tracked: Tracked) -> Self {
-        let next = (tracked == Tracked::Lease).then_some(0);
+    pub fn new(tracked: Dependency) -> Self {
+        let next = (tracked == Dependency::Lease).then_some(0);
         Self { tracked, next, wait: Duration::ZERO, idle_until: Time::ZERO, pending: None }
     }
 
@@ -160,15 +160,15 @@
     }
 
     fn start_read(&mut self, now: Time, node: &Node, delay: Duration) {
-        if self.next.is_some() && !node.reads(now, self.tracked) {
+        if self.next.is_some() && !node.should_read(now, self.tracked) {
             self.wait = Duration::ZERO;
             self.idle_until = now + READER_CHECK_INTERVAL;
             return;
         }
         let from = match self.tracked {
             // Records that peers sent need not be read.
-            Tracked::Topic(topic) => self.next.map(|next| next.max(node.end(topic))),
-            Tracked::Lease => Some(node.next_lease()),
+            Dependency::Topic(topic) => self.next.map(|next| next.max(node.end_offset(topic))),
+            Dependency::Lease => Some(node.next_lease_offset()),
         };
         let deadline = now + ANSWER_TIMEOUT + self.wait;
         let (arrives_at, waits_until) = (now + delay, now + delay + self.wait);
@@ -195,7 +195,7 @@
         let (records, whole, to) = match answer {
             Answer::Failed => {
                 self.wait = Duration::ZERO;
-                self.idle_until = now + node.pause();
+                self.idle_until = now + node.retry_delay();
                 return Some(Message::Down(self.tracked, "no answer".into()));
             }
             Answer::Compacted => {
@@ -203,10 +203,10 @@
                 return None;
             }
             Answer::Lease(records) => {
-                let is_empty = records.is_empty() && node.next_lease() == 0;
+                let is_empty = records.is_empty() && node.next_lease_offset() == 0;
                 self.idle_until =
-                    now + if is_empty { STORE_RETRY_DELAY } else { node.pace(now, self.tracked) };
-                self.wait = node.wait(now, self.tracked);
+                    now + if is_empty { STORE_RETRY_DELAY } else { node.read_interval(now, self.tracked) };
+                self.wait = node.max_read_wait(now, self.tracked);
                 return Some(Message::Lease(0, records));
             }
             Answer::Snapshot(records, to) => (records, true, to),
@@ -215,13 +215,13 @@
                 (records, false, to)
             }
         };
-        let Tracked::Topic(topic) = self.tracked else { return None };
+        let Dependency::Topic(topic) = self.tracked else { return None };
         self.idle_until += match (records.is_empty(), to) {
-            (false, _) => node.pace(now, self.tracked),
+            (false, _) => node.read_interval(now, self.tracked),
             (true, 0) => STORE_RETRY_DELAY,
             (true, _) => Duration::ZERO,
         };
-        (self.next, self.wait) = (Some(to), node.wait(now, self.tracked));
+        (self.next, self.wait) = (Some(to), node.max_read_wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
         Some(Message::Read(Read { batch, whole, asked: started_at }))
     }
@@ -232,13 +232,13 @@
     fn poll_store(
         &mut self,
         now: Time,
-        tracked: Tracked,
+        tracked: Dependency,
         store: &Store,
         delay: &mut impl FnMut() -> Duration,
     ) -> Option<Answer> {
         let topic = match (tracked, self.from) {
-            (Tracked::Topic(topic), _) => topic,
-            (Tracked::Lease, from) => {
+            (Dependency::Topic(topic), _) => topic,
+            (Dependency::Lease, from) => {
                 let from = usize::try_from(from.unwrap_or_default()).unwrap_or(usize::MAX);
                 let texts = store.lease.iter().cloned();
                 let records: Vec<_> = (0..).zip(texts).skip(from).collect();
