--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -1,26 +1,26 @@
-//! The platform's store as daemons see it, and how they follow it: whole reads by pages, reads from an offset
-//! that wait for a record, a history that is forgotten, and answers that come late or not at all.
+//! Model of the platform's store and of how daemons follow it: paged snapshot reads, long polls
+//! from an offset, compaction, and late or missing answers.
 
 use crate::fleet::*;
 use crate::prelude::*;
 
-/// Time for an answer beyond the wait.
-const ANSWER: Duration = Duration::from_millis(1_500);
-/// Time to the next call after one that the store did not answer, or that found no topic.
-const STORE_PAUSE: Duration = Duration::from_millis(300);
-/// Time between two looks whether a daemon is to read what it leaves to others.
-const LEFT_PAUSE: Duration = Duration::from_millis(200);
+/// Time for an answer in addition to the long poll's wait.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay after a read that the store did not answer, or that found no topic.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Interval between checks of whether a daemon should read what it leaves to others.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is stored of one topic.
+/// The stored records of one topic.
 #[derive(Debug, Default)]
 struct Log {
-    /// When each was appended, and what; the offset is the place.
+    /// Append time and record; the index is the offset.
     records: Vec<(Time, Record)>,
-    /// The oldest offset that can be read; the newest record of a key stays on the list.
+    /// The oldest offset that can be read from; the newest record of each key stays in the listing.
     first: u64,
 }
 
-/// Topics and the lease.
+/// The topics and the lease.
 #[derive(Debug, Default)]
 pub struct Store {
     logs: BTreeMap<Topic, Log>,
@@ -35,13 +35,13 @@
         log.records.push((now, Record { key: key.into(), offset, value }));
     }
 
-    /// Forgets all that was appended so far, but for the newest record of each key.
-    pub fn forget(&mut self, topic: Topic) {
+    /// Drops all records appended so far except the newest of each key.
+    pub fn compact(&mut self, topic: Topic) {
         let log = self.logs.entry(topic).or_default();
         log.first = log.records.len() as u64;
     }
 
-    /// The newest record of each key, with the time at which it was appended; removals too.
+    /// The newest record of each key, including removals, with its append time.
     pub fn newest(&self, topic: Topic) -> BTreeMap<&str, (Time, &Record)> {
         let records = self.logs.get(&topic).into_iter().flat_map(|log| &log.records);
         records.map(|(at, record)| (record.key.as_str(), (*at, record))).collect()
@@ -59,20 +59,20 @@
     fn from(&self, topic: Topic, from: u64) -> Answer {
         let Some(log) = self.logs.get(&topic) else { return Answer::Records(Vec::new()) };
         if from < log.first {
-            return Answer::Forgotten;
+            return Answer::Compacted;
         }
         let from = usize::try_from(from).unwrap_or(usize::MAX);
         Answer::Records(log.records.iter().skip(from).map(|(_, record)| record.clone()).collect())
     }
 }
 
-/// How the store takes a daemon's calls.
+/// How the store responds to a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
     Open,
-    /// Its answers take up to this long.
+    /// Answers are delayed by up to this long.
     Slow(Duration),
-    /// It answers that it does not.
+    /// It answers every read with a failure.
     Refused,
     /// It never answers.
     Silent,
@@ -80,46 +80,46 @@
 
 #[derive(Debug, Clone)]
 enum Answer {
-    Whole(Vec<Record>, u64),
+    Snapshot(Vec<Record>, u64),
     Records(Vec<Record>),
     Lease(Vec<(u64, String)>),
-    Forgotten,
+    Compacted,
     Failed,
 }
 
-/// A read under way.
+/// A read in progress.
 #[derive(Debug)]
-struct Ask {
-    /// `None` for everything.
+struct PendingRead {
+    /// Offset to read from; `None` for a snapshot.
     from: Option<u64>,
-    asked: Time,
-    arrives: Time,
-    /// Until when it waits for a record.
+    started_at: Time,
+    arrives_at: Time,
+    /// End of the long poll.
     waits_until: Time,
-    /// When the daemon gives up.
-    limit: Time,
-    /// The first page, when the second is read, and the end as of the first.
+    /// Time at which the daemon gives up.
+    deadline: Time,
+    /// The first page, the time of the second page's read, and the end offset as of the first.
     page: Option<(Vec<Record>, Time, u64)>,
     answer: Option<(Time, Answer)>,
 }
 
-/// How one daemon follows one topic, or the lease.
+/// How one daemon follows one topic or the lease.
 #[derive(Debug)]
 pub struct Watch {
     tracked: Dependency,
     next: Option<u64>,
     wait: Duration,
-    rests_until: Time,
-    ask: Option<Ask>,
+    idle_until: Time,
+    pending: Option<PendingRead>,
 }
 
 impl Watch {
     pub fn new(tracked: Dependency) -> Self {
         let next = (tracked == Dependency::Lease).then_some(0);
-        Self { tracked, next, wait: Duration::ZERO, rests_until: Time::ZERO, ask: None }
+        Self { tracked, next, wait: Duration::ZERO, idle_until: Time::ZERO, pending: None }
     }
 
-    /// Asks, waits, or takes an answer in, which is returned for the node.
+    /// Starts a read, waits, or handles an answer, which is returned as a message for the node.
     pub fn step(
         &mut self,
         now: Time,
@@ -129,98 +129,107 @@
         rng: &mut fastrand::Rng,
     ) -> Option<Message> {
         let mut delay = || match access {
-            Access::Slow(most) => Duration::from_millis(rng.u64(50..most.as_millis() as u64)),
+            Access::Slow(max) => Duration::from_millis(rng.u64(50..max.as_millis() as u64)),
             Access::Open | Access::Refused | Access::Silent => {
                 Duration::from_millis(rng.u64(2..20))
             }
         };
-        let Some(ask) = &mut self.ask else {
-            if now >= self.rests_until {
-                self.ask(now, node, delay());
+        let Some(pending) = &mut self.pending else {
+            if now >= self.idle_until {
+                self.start_read(now, node, delay());
             }
             return None;
         };
-        if ask.answer.is_none() && now >= ask.arrives {
+        if pending.answer.is_none() && now >= pending.arrives_at {
             let answer = match access {
                 Access::Refused => Some(Answer::Failed),
-                Access::Silent => Some(Answer::Failed).filter(|_| now >= ask.limit),
-                Access::Open | Access::Slow(_) => ask.look(now, self.tracked, store, &mut delay),
+                Access::Silent => Some(Answer::Failed).filter(|_| now >= pending.deadline),
+                Access::Open | Access::Slow(_) => {
+                    pending.poll_store(now, self.tracked, store, &mut delay)
+                }
             };
-            ask.answer = answer.map(|answer| (now + delay(), answer));
+            pending.answer = answer.map(|answer| (now + delay(), answer));
         }
-        let due = ask.answer.take_if(|(at, _)| now >= *at && *at < ask.limit);
+        let due = pending.answer.take_if(|(at, _)| now >= *at && *at < pending.deadline);
         let answer = due.map(|(_, answer)| answer);
-        let late = (now >= ask.limit).then_some(Answer::Failed);
+        let late = (now >= pending.deadline).then_some(Answer::Failed);
         let answer = answer.or(late)?;
-        let (from, asked) = (ask.from, ask.asked);
-        self.ask = None;
-        self.take(now, node, from, asked, answer)
+        let (from, started_at) = (pending.from, pending.started_at);
+        self.pending = None;
+        self.handle_answer(now, node, from, started_at, answer)
     }
 
-    fn ask(&mut self, now: Time, node: &Node, delay: Duration) {
+    fn start_read(&mut self, now: Time, node: &Node, delay: Duration) {
         if self.next.is_some() && !node.should_read(now, self.tracked) {
             self.wait = Duration::ZERO;
-            self.rests_until = now + LEFT_PAUSE;
+            self.idle_until = now + READER_CHECK_INTERVAL;
             return;
         }
         let from = match self.tracked {
-            // What peers told needs no reading.
+            // Records that peers sent need not be read.
             Dependency::Topic(topic) => self.next.map(|next| next.max(node.end_offset(topic))),
             Dependency::Lease => Some(node.next_lease_offset()),
         };
-        let limit = now + ANSWER + self.wait;
-        let (arrives, waits_until) = (now + delay, now + delay + self.wait);
-        self.ask =
-            Some(Ask { from, asked: now, arrives, waits_until, limit, page: None, answer: None });
+        let deadline = now + ANSWER_TIMEOUT + self.wait;
+        let (arrives_at, waits_until) = (now + delay, now + delay + self.wait);
+        self.pending = Some(PendingRead {
+            from,
+            started_at: now,
+            arrives_at,
+            waits_until,
+            deadline,
+            page: None,
+            answer: None,
+        });
     }
 
-    fn take(
+    fn handle_answer(
         &mut self,
         now: Time,
         node: &Node,
         from: Option<u64>,
-        asked: Time,
+        started_at: Time,
         answer: Answer,
     ) -> Option<Message> {
-        self.rests_until = now;
+        self.idle_until = now;
         let (records, whole, to) = match answer {
             Answer::Failed => {
                 self.wait = Duration::ZERO;
-                self.rests_until = now + node.retry_delay();
+                self.idle_until = now + node.retry_delay();
                 return Some(Message::ReadFailed(self.tracked, "no answer".into()));
             }
-            Answer::Forgotten => {
+            Answer::Compacted => {
                 self.next = None;
                 return None;
             }
             Answer::Lease(records) => {
-                let any = records.is_empty() && node.next_lease_offset() == 0;
-                self.rests_until =
-                    now + if any { STORE_PAUSE } else { node.read_interval(now, self.tracked) };
+                let is_empty = records.is_empty() && node.next_lease_offset() == 0;
+                self.idle_until =
+                    now + if is_empty { STORE_RETRY_DELAY } else { node.read_interval(now, self.tracked) };
                 self.wait = node.max_read_wait(now, self.tracked);
                 return Some(Message::Lease(0, records));
             }
-            Answer::Whole(records, to) => (records, true, to),
+            Answer::Snapshot(records, to) => (records, true, to),
             Answer::Records(records) => {
                 let to = from.unwrap_or_default() + records.len() as u64;
                 (records, false, to)
             }
         };
         let Dependency::Topic(topic) = self.tracked else { return None };
-        self.rests_until += match (records.is_empty(), to) {
+        self.idle_until += match (records.is_empty(), to) {
             (false, _) => node.read_interval(now, self.tracked),
-            (true, 0) => STORE_PAUSE,
+            (true, 0) => STORE_RETRY_DELAY,
             (true, _) => Duration::ZERO,
         };
         (self.next, self.wait) = (Some(to), node.max_read_wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
-        Some(Message::Read(Read { batch, is_snapshot: whole, current_at: asked }))
+        Some(Message::Read(Read { batch, is_snapshot: whole, current_at: asked: started_at }))
     }
 }
 
-impl Ask {
-    /// What the store answers now; nothing while it waits, or reads the second page.
-    fn look(
+impl PendingRead {
+    /// Returns the store's answer; `None` while it waits for a record or reads the second page.
+    fn poll_store(
         &mut self,
         now: Time,
         tracked: Dependency,
@@ -252,7 +261,7 @@
             }
             Some((mut records, due, end)) if now >= due => {
                 records.extend(store.page(topic, |key| !middle(key)));
-                Some(Answer::Whole(records, end))
+                Some(Answer::Snapshot(records, end))
             }
             waiting => {
                 self.page = waiting;
