--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -121,7 +121,7 @@
             self.waiting.insert(Turn::of(key, request));
             self.drains.entry(request.pool.clone()).or_default().waits(now);
             self.tell_that_it_waits(key);
-            self.log_waits(now, key);
+            self.log_waiting(now, key);
         }
     }
 
@@ -223,7 +223,7 @@
             self.expected.refused(now, fingerprint);
         }
         self.command(key, command);
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// When a caller should come back: once what waits ahead of it has been taken by the open servers of
--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -18,20 +18,20 @@
 
 impl Node {
     /// The request and its route, with which every line on a request begins.
-    fn about(request: &Request) -> Detail {
+    fn request_detail(request: &Request) -> Detail {
         Detail::of("request", request.arrival.id.as_str())
             .and("route", request.arrival.route.name.as_str())
     }
 
     /// The same, with the request's newest attempt and the server that it went to.
-    fn about_attempt(&self, request: &Request, server: server::Key) -> Detail {
+    fn attempt_detail(&self, request: &Request, server: server::Key) -> Detail {
         let id = self.servers.get(server).map_or("", |server| server.entry.incarnation.id.as_str());
-        Self::about(request).and("attempt", request.sends).and("server", id)
+        Self::request_detail(request).and("attempt", request.sends).and("server", id)
     }
 
     /// How old what this daemon goes by is: the configuration's version, and for how long the store
     /// has not told of servers.
-    fn beliefs(&self, now: Time, detail: Detail) -> Detail {
+    fn with_data_ages(&self, now: Time, detail: Detail) -> Detail {
         let table = self.table.as_ref().map_or(0, |table| table.version());
         let unread = self.unread_since.get(&Tracked::Topic(Topic::Servers));
         detail
@@ -44,7 +44,7 @@
         let Some(request) = self.requests.get(&key) else { return };
         let Some(server) = self.servers.get(choice.server) else { return };
         let load = self.load(choice.server, server);
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("attempt", request.sends)
             .and("server", server.entry.incarnation.id.as_str())
             .and("address", server.entry.address)
@@ -62,14 +62,14 @@
             .and("home", choice.at_home)
             .and_some("fetch_from", choice.fetch_from)
             .and("save", choice.save_to.is_some());
-        let detail = self.beliefs(now, detail);
+        let detail = self.with_data_ages(now, detail);
         self.event(Event::AttemptSent, detail);
     }
 
     /// Logs where a request goes that a scheduler placed.
     pub(super) fn log_assigned(&mut self, now: Time, key: Key, dispatch: &Dispatch) {
         let Some(request) = self.requests.get(&key) else { return };
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("attempt", dispatch.attempt)
             .and("scheduler", request.scheduler.as_str())
             .and("server", dispatch.server.as_str())
@@ -99,17 +99,17 @@
         self.event(Event::AnswerBegun, detail);
     }
 
-    pub(super) fn log_waits(&mut self, now: Time, key: Key) {
+    pub(super) fn log_waiting(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let servers = self.pools.get(&request.pool).map(Vec::as_slice).unwrap_or_default();
         let usable = servers.iter().filter_map(|key| self.servers.get(*key));
         let usable = usable.filter(|server| server.is_usable(now)).count();
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("waiting", self.waiting.len())
             .and("servers", servers.len())
             .and("usable", usable)
             .and("sends", request.sends);
-        let detail = self.beliefs(now, detail);
+        let detail = self.with_data_ages(now, detail);
         self.event(Event::RequestWaits, detail);
     }
 
@@ -120,7 +120,7 @@
             Phase::Waiting(since) => now.saturating_sub(since),
             Phase::Submitted(_) | Phase::Sent { .. } => Duration::ZERO,
         };
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("code", u32::from(code.row().number))
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("sends", request.sends)
@@ -128,7 +128,7 @@
             .and("waited_ms", waited)
             .and("waiting", self.waiting.len())
             .and("retry_after_ms", after);
-        let detail = self.beliefs(now, detail);
+        let detail = self.with_data_ages(now, detail);
         self.event(Event::RequestRefused, detail);
     }
 
@@ -136,7 +136,7 @@
     pub(super) fn log_failed(&mut self, key: Key, server: server::Key, reason: &str) {
         let Some(request) = self.requests.get(&key) else { return };
         let detail = self
-            .about_attempt(request, server)
+            .attempt_detail(request, server)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("reason", reason)
             .and("runs", request.runs)
@@ -152,16 +152,16 @@
             Refused::Weights(version) => ("its weights are of another version", version),
         };
         let detail =
-            self.about_attempt(request, server).and("reason", reason).and_some("weights", weights);
+            self.attempt_detail(request, server).and("reason", reason).and_some("weights", weights);
         self.event(Event::AttemptRefused, detail);
     }
 
     /// Logs that a request that had been sent is taken back; `event` tells why.
-    pub(super) fn log_taken_back(&mut self, event: Event, now: Time, key: Key) {
+    pub(super) fn log_withdrawn(&mut self, event: Event, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, at, .. } = request.phase else { return };
         let detail = self
-            .about_attempt(request, server)
+            .attempt_detail(request, server)
             .and("sent_ms_ago", now.saturating_sub(at))
             .and_some("weights", request.weights);
         self.event(event, detail);
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -50,7 +50,7 @@
 
 impl Node {
     /// The state for metrics.
-    pub fn figures(&mut self, now: Time) -> Vec<Figure> {
+    pub fn metrics(&mut self, now: Time) -> Vec<Figure> {
         let mut figures = vec![
             Figure::new("ready", u64::from(self.is_ready())),
             Figure::new("draining", u64::from(self.draining)),
@@ -76,15 +76,15 @@
             refused
                 .map(|(code, n)| Figure::of("refused", "code", code.row().number.to_string(), *n)),
         );
-        self.show_quotas(&mut figures);
-        self.show_pools(now, &mut figures);
-        self.show_servers(now, &mut figures);
-        self.show_ages(now, &mut figures);
+        self.add_quotas(&mut figures);
+        self.add_pools(now, &mut figures);
+        self.add_servers(now, &mut figures);
+        self.add_ages(now, &mut figures);
         figures
     }
 
     /// What this daemon may let in of the quotas that were used lately.
-    fn show_quotas(&self, figures: &mut Vec<Figure>) {
+    fn add_quotas(&self, figures: &mut Vec<Figure>) {
         let lent = match self.quota.role() {
             Role::Keeper { lent, .. } => lent,
             Role::Deputy { .. } | Role::Other { .. } => 0.0,
@@ -97,21 +97,21 @@
         }
     }
 
-    fn show_pools(&mut self, now: Time, figures: &mut Vec<Figure>) {
+    fn add_pools(&mut self, now: Time, figures: &mut Vec<Figure>) {
         for (pool, keys) in &self.pools {
             let usable = keys.iter().filter_map(|key| self.servers.get(*key));
             let usable = usable.filter(|server| server.is_usable(now)).count();
             figures.push(Figure::of("servers", "pool", pool, keys.len() as u64));
             figures.push(Figure::of("servers_usable", "pool", pool, usable as u64));
         }
-        let terms = self.terms(now);
+        let terms = self.retry_terms(now);
         for (pool, budget) in &mut self.budgets {
             let left = budget.left(now, terms);
             figures.push(Figure::of("retries_left", "pool", pool, left));
         }
     }
 
-    fn show_servers(&self, now: Time, figures: &mut Vec<Figure>) {
+    fn add_servers(&self, now: Time, figures: &mut Vec<Figure>) {
         for (key, server) in &self.servers {
             let id = server.entry.incarnation.id.as_str();
             let load = self.load(key, server);
@@ -135,7 +135,7 @@
     }
 
     /// For how long the store has not told of each topic, and how old each peer's word is.
-    fn show_ages(&self, now: Time, figures: &mut Vec<Figure>) {
+    fn add_ages(&self, now: Time, figures: &mut Vec<Figure>) {
         for tracked in Tracked::ALL {
             let unread = self.unread_since.get(&tracked);
             let unread = unread.map_or(0, |since| ms(now.saturating_sub(*since)));
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -212,7 +212,7 @@
             Frame::Submission(submission) => self.submission_came(now, *submission),
             Frame::Progress(progress) => self.progress_came(now, progress),
             Frame::Verdict(verdict) => self.verdict_came(now, *verdict),
-            Frame::Poison(message) => self.poison_came(now, message),
+            Frame::Poison(message) => self.receive_poison_message(now, message),
             Frame::Ask(daemon, topic, from) => self.asked(&daemon, topic, from),
             Frame::Records(batch) => {
                 self.hear_topic(batch.topic, |node| node.take(now, batch, true));
@@ -275,8 +275,8 @@
             }
         }
         self.expected.hear(now, &digest.refused);
-        self.hear_blocked(now, &digest.blocked);
-        self.hear_used(now, &digest);
+        self.merge_blocks(now, &digest.blocked);
+        self.record_peer_usage(now, &digest);
         // What others moved is taken off what is free by now, not off what was free at the last send.
         self.refill_link(now);
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -54,7 +54,7 @@
 pub use residency::{EventsRead, Keeper, Place, Stored, Told};
 pub use retry::Budget;
 #[cfg(test)]
-pub(crate) use run::Letter;
+pub(crate) use run::Input;
 pub use run::{Control, Fleet};
 pub use scheduling::{Assignment, Progress, Ruling, Step, Submission, Verdict};
 pub use server::{Entry, Server};
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -10,7 +10,7 @@
 use super::load::Load;
 use super::notice::Allowance;
 use super::peer::Peer;
-use super::quotas::Keeping;
+use super::quotas::Leadership;
 use super::request::Request;
 use super::residency::{Kept, Link, Reading};
 use super::rollout::Rollout;
@@ -96,7 +96,7 @@
     pub(super) rollout: Rollout,
     /// What workspaces have left of their quotas.
     pub(super) quota: quota::State,
-    pub(super) quota_leadership: Keeping,
+    pub(super) quota_leadership: Leadership,
     /// Requests that end servers.
     pub(super) poison: poison::State,
     /// Servers that may have ended under requests.
@@ -163,7 +163,7 @@
             peer_loads_stale: false,
             rollout: Rollout::default(),
             quota: quota::State::new(policy.quota),
-            quota_leadership: Keeping::default(),
+            quota_leadership: Leadership::default(),
             poison: poison::State::default(),
             crash_watch: poison::Watch::default(),
             next_block_expiry: Time::ZERO,
@@ -199,7 +199,7 @@
             Message::Report { request, attempt, report } => {
                 self.report(now, request, attempt, report);
             }
-            Message::Leave(request) => self.forget(now, request),
+            Message::Leave(request) => self.remove_request(now, request),
             Message::Read(read) => self.read(now, read),
             Message::Down(tracked, reason) => self.went_down(now, tracked, &reason),
             Message::Lease(first, records) => self.lease_read(now, first, &records),
@@ -278,19 +278,19 @@
         let sent: Vec<Key> = sent.map(|(key, _)| *key).collect();
         for key in sent {
             self.command(key, Command::GiveUp);
-            self.forget(now, key);
+            self.remove_request(now, key);
         }
     }
 
     fn tick(&mut self, now: Time) {
         self.look_at_ranking(now);
-        self.look_at_quotas(now);
+        self.update_quota_role(now);
         self.gossip(now);
         self.look_at_namings(now);
         self.read_events(now);
         self.sum_others(now);
         self.look_at_unanswered(now);
-        self.look_at_poison(now);
+        self.maintain_blocks(now);
         self.drop_lapsed(now);
         self.look_at_schedulers(now);
         self.look_at_served(now);
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -103,13 +103,13 @@
     pub(super) fn place(&self, now: Time, key: Key) -> Option<Choice> {
         let request = self.requests.get(&key)?;
         let keys = self.pools.get(&request.pool)?;
-        if self.waits_for_its_copy(request) {
+        if self.waits_for_running_copy(request) {
             return None;
         }
         let servers = keys.iter().filter_map(|key| Some((*key, self.servers.get(*key)?)));
         let mut usable: Vec<(server::Key, &Server)> =
             servers.filter(|(key, server)| self.has_room(now, *key, server)).collect();
-        self.poison.keep_apart(request.arrival.fingerprint, self.running(), &mut usable);
+        self.poison.keep_apart(request.arrival.fingerprint, self.running_requests(), &mut usable);
         match &request.arrival.prompt {
             None => self.place_plain(now, request, &usable),
             Some(prompt) => self.place_prompt(now, request, prompt, &usable),
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -13,13 +13,13 @@
 use crate::prelude::*;
 
 /// Time from a write of a block to the platform's store to the next, where it is not seen there.
-const WRITE_AGAIN: Duration = Duration::from_secs(2);
+const BLOCK_REWRITE_INTERVAL: Duration = Duration::from_secs(2);
 /// Time by which each scheduler waits longer than the one before it until it writes a block.
-const WRITE_IN_TURN: Duration = Duration::from_millis(700);
+const BLOCK_WRITE_STAGGER: Duration = Duration::from_millis(700);
 /// Peers that are told of ends where no scheduler is heard of.
-const TOLD_PEERS: usize = 8;
+const MAX_REPORT_PEERS: usize = 8;
 /// Time between two looks for what is too old.
-const LOOK: Duration = Duration::from_secs(10);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Server {
     /// Its present life, as all daemons name it.
@@ -45,31 +45,31 @@
             servers: self.pools.get(pool).map_or(0, |keys| keys.len() as u32),
         };
         let steps = self.crash_watch.lost(now, suspect, Lost { fingerprint, ran });
-        self.take_steps(now, steps);
+        self.apply_steps(now, steps);
     }
 
     /// Takes over what a look at a server's port found.
     pub(super) fn probed(&mut self, now: Time, victim: Victim, answer: Answer) {
         let steps = self.crash_watch.answered(now, victim, answer);
-        self.take_steps(now, steps);
+        self.apply_steps(now, steps);
     }
 
     /// Takes over that a server's registration is gone, or that it has started again.
     pub(super) fn registration_ended(&mut self, now: Time, server: &Server) {
         if !server.entry.draining {
             let steps = self.crash_watch.ended(now, server.victim());
-            self.take_steps(now, steps);
+            self.apply_steps(now, steps);
         }
     }
 
     /// Takes over that a server answered.
-    pub(super) fn lives(&mut self, now: Time, server: server::Key) {
+    pub(super) fn server_answered(&mut self, now: Time, server: server::Key) {
         if let Some(server) = self.servers.get(server).filter(|_| !self.crash_watch.is_idle()) {
             self.crash_watch.heard(now, server.victim());
         }
     }
 
-    fn take_steps(&mut self, now: Time, steps: Steps) {
+    fn apply_steps(&mut self, now: Time, steps: Steps) {
         for Probe { victim, address } in steps.probes {
             self.effects.push(Effect::Probe(victim, address));
         }
@@ -77,7 +77,7 @@
             return;
         }
         let present = steps.strikes.iter().map(|strike| strike.fingerprint.to_string());
-        let detail = Detail::of("server", self.server_of(steps.strikes[0].victim))
+        let detail = Detail::of("server", self.server_id(steps.strikes[0].victim))
             .and("requests", steps.strikes.len())
             .and("fingerprints", present.collect::<Vec<String>>().join(" "));
         self.event(Event::ServerEnded, detail);
@@ -85,66 +85,66 @@
         if addresses.is_empty() {
             addresses = self.fresh_addresses(now);
             self.rng.shuffle(&mut addresses);
-            addresses.truncate(TOLD_PEERS);
+            addresses.truncate(MAX_REPORT_PEERS);
         }
-        self.tell_of_poison(addresses, Message::Strikes(steps.strikes.clone()));
-        self.strike(now, steps.strikes);
+        self.send_poison_message(addresses, Message::Strikes(steps.strikes.clone()));
+        self.record_crashes(now, steps.strikes);
     }
 
-    fn server_of(&self, victim: Victim) -> String {
+    fn server_id(&self, victim: Victim) -> String {
         let known = self.servers.values().find(|server| server.victim() == victim);
         known.map_or_else(String::new, |server| server.entry.incarnation.id.clone())
     }
 
-    fn tell_of_poison(&mut self, addresses: Vec<SocketAddr>, message: Message) {
+    fn send_poison_message(&mut self, addresses: Vec<SocketAddr>, message: Message) {
         if !addresses.is_empty() {
             self.effects.push(Effect::Send(addresses, Frame::Poison(message)));
         }
     }
 
     /// Takes over a peer's word.
-    pub(super) fn poison_came(&mut self, now: Time, message: Message) {
+    pub(super) fn receive_poison_message(&mut self, now: Time, message: Message) {
         match message {
-            Message::Strikes(strikes) => self.strike(now, strikes),
+            Message::Strikes(strikes) => self.record_crashes(now, strikes),
             Message::Served(fingerprint) => {
                 let blocked = self.poison.served(now, fingerprint);
-                self.announce(now, blocked.unwrap_or_default());
+                self.announce_blocks(now, blocked.unwrap_or_default());
             }
-            Message::Blocked(blocked) => self.hear_blocked(now, &blocked),
+            Message::Blocked(blocked) => self.merge_blocks(now, &blocked),
         }
     }
 
-    fn strike(&mut self, now: Time, strikes: Vec<Strike>) {
+    fn record_crashes(&mut self, now: Time, strikes: Vec<Strike>) {
         let struck = |strike: &Strike| self.poison.strike(now, *strike);
         let blocked: Vec<Strike> = strikes.into_iter().filter(struck).collect();
-        self.announce(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
+        self.announce_blocks(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
     }
 
     /// Tells all peers what is blocked from now on, and refuses it.
-    fn announce(&mut self, now: Time, blocked: Vec<Fingerprint>) {
+    fn announce_blocks(&mut self, now: Time, blocked: Vec<Fingerprint>) {
         if blocked.is_empty() {
             return;
         }
         let addresses = self.fresh_addresses(now);
         let new = blocked.iter();
         let new = new.map(|block| Blocked { fingerprint: *block, age: Duration::ZERO }).collect();
-        self.tell_of_poison(addresses, Message::Blocked(new));
+        self.send_poison_message(addresses, Message::Blocked(new));
         for fingerprint in blocked {
-            self.blocked(now, fingerprint);
+            self.enforce_block(now, fingerprint);
         }
     }
 
     /// Takes over what peers say is blocked.
-    pub(super) fn hear_blocked(&mut self, now: Time, blocked: &[Blocked]) {
+    pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
         for told in blocked {
             if self.poison.hear(now, *told) {
-                self.blocked(now, told.fingerprint);
+                self.enforce_block(now, told.fingerprint);
             }
         }
     }
 
     /// Ends the requests that have just been blocked, but for those whose answer has begun.
-    fn blocked(&mut self, now: Time, fingerprint: Fingerprint) {
+    fn enforce_block(&mut self, now: Time, fingerprint: Fingerprint) {
         let detail = self.poison.detail(now, fingerprint);
         self.event(Event::RequestBlocked, detail);
         let ended = self.requests.iter().filter(|(_, request)| {
@@ -166,7 +166,7 @@
         };
         self.log_refused(now, key, Code::RequestBlocked, after);
         self.command(key, command);
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// Whether a request is blocked.
@@ -175,7 +175,7 @@
     }
 
     /// Whether a request that has just been lost may be what ends servers, with what is not yet sure.
-    pub(super) fn may_end_servers(&self, now: Time, key: Key) -> bool {
+    pub(super) fn may_crash_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
         self.poison.is_suspect(fingerprint, self.crash_watch.doubted(now, fingerprint))
     }
@@ -185,24 +185,24 @@
     }
 
     /// Takes over that a request was answered.
-    pub(super) fn was_served(&mut self, now: Time, key: Key) {
+    pub(super) fn request_answered(&mut self, now: Time, key: Key) {
         let Some(fingerprint) = self.fingerprint(key) else { return };
         if let Some(blocked) = self.poison.served(now, fingerprint) {
             let addresses = self.scheduler_addresses(now);
-            self.tell_of_poison(addresses, Message::Served(fingerprint));
-            self.announce(now, blocked);
+            self.send_poison_message(addresses, Message::Served(fingerprint));
+            self.announce_blocks(now, blocked);
         }
     }
 
     /// Whether a request waits for what a copy of it that runs shows.
-    pub(super) fn waits_for_its_copy(&self, request: &Request) -> bool {
+    pub(super) fn waits_for_running_copy(&self, request: &Request) -> bool {
         let fingerprint = request.arrival.fingerprint;
         self.poison.runs_one_at_a_time(fingerprint)
-            && self.running().any(|(other, _)| other == fingerprint)
+            && self.running_requests().any(|(other, _)| other == fingerprint)
     }
 
     /// What runs, and where.
-    pub(super) fn running(&self) -> impl Iterator<Item = (Fingerprint, server::Key)> {
+    pub(super) fn running_requests(&self) -> impl Iterator<Item = (Fingerprint, server::Key)> {
         self.requests.values().filter_map(|request| match request.phase {
             Phase::Sent { server, .. } => Some((request.arrival.fingerprint, server)),
             Phase::Waiting(_) | Phase::Submitted(_) => None,
@@ -210,13 +210,13 @@
     }
 
     /// Looks at servers in doubt, has blocks written, and forgets what is too old.
-    pub(super) fn look_at_poison(&mut self, now: Time) {
+    pub(super) fn maintain_blocks(&mut self, now: Time) {
         for Probe { victim, address } in self.crash_watch.due(now) {
             self.effects.push(Effect::Probe(victim, address));
         }
         if self.is_scheduler(now) {
-            let turn = WRITE_IN_TURN * self.rank_among_daemons();
-            let due = self.poison.to_write(now.saturating_sub(turn), WRITE_AGAIN);
+            let turn = BLOCK_WRITE_STAGGER * self.rank_among_daemons();
+            let due = self.poison.to_write(now.saturating_sub(turn), BLOCK_REWRITE_INTERVAL);
             let due =
                 due.into_iter().map(|block| Effect::WriteBlock(block.fingerprint, Some(block.age)));
             self.effects.extend(due);
@@ -224,7 +224,7 @@
         if now < self.next_block_expiry {
             return;
         }
-        self.next_block_expiry = now + LOOK;
+        self.next_block_expiry = now + EXPIRY_INTERVAL;
         for lapsed in self.poison.expire(now) {
             self.event(Event::BlockEnded, Detail::of("fingerprint", lapsed.to_string()));
             if self.is_scheduler(now) {
@@ -234,24 +234,24 @@
     }
 
     /// Takes over that the platform's store keeps a block.
-    pub(super) fn block_kept(&mut self, now: Time, told: Blocked) {
+    pub(super) fn block_stored(&mut self, now: Time, told: Blocked) {
         if self.poison.kept(now, told) {
-            self.blocked(now, told.fingerprint);
+            self.enforce_block(now, told.fingerprint);
         }
     }
 
     /// Takes over that a block is gone from the platform's store.
-    pub(super) fn block_gone(&mut self, now: Time, fingerprint: Fingerprint) {
+    pub(super) fn block_removed(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.poison.lift(now, fingerprint) {
             self.event(Event::BlockEnded, Detail::of("fingerprint", fingerprint.to_string()));
         }
     }
 
     /// Gives daemons that have come to schedule what is known of ends so far.
-    pub(super) fn hand_strikes(&mut self, now: Time, newcomers: Vec<SocketAddr>) {
+    pub(super) fn send_known_crashes(&mut self, now: Time, newcomers: Vec<SocketAddr>) {
         let strikes = self.poison.strikes(now);
         if !strikes.is_empty() {
-            self.tell_of_poison(newcomers, Message::Strikes(strikes));
+            self.send_poison_message(newcomers, Message::Strikes(strikes));
         }
     }
 }
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -7,15 +7,15 @@
 use crate::quota::{Ask, Over, Quota, Role};
 
 /// Time beyond two digests after which a daemon no longer lends its share: by then it may lend it to another.
-const LENT_FOR: Duration = Duration::from_millis(100);
+const LENDING_GRACE: Duration = Duration::from_millis(100);
 /// Time in which a keeper notices that others have gone to another.
-const TAKES_OVER: Duration = Duration::from_millis(1_100);
+const KEEPER_TAKEOVER: Duration = Duration::from_millis(1_100);
 /// Silence of a daemon after which it has no share where most are heard of: longer than cuts and restarts.
-const GONE_AFTER: Duration = Duration::from_secs(10);
+const PEER_SILENCE_MAX: Duration = Duration::from_secs(10);
 
 /// Who keeps the quotas, as this daemon sees it.
 #[derive(Debug, Default)]
-pub(super) struct Keeping {
+pub(super) struct Leadership {
     /// The keeper's id; empty where none is known.
     keeper: String,
     /// Since when this daemon has been the keeper, where it is.
@@ -26,7 +26,7 @@
     pub(super) undecided: BTreeSet<Key>,
 }
 
-impl Keeping {
+impl Leadership {
     /// The keeper's id.
     pub(super) fn name(&self) -> &str {
         &self.keeper
@@ -36,12 +36,12 @@
 impl Peer {
     /// Whether it lends its share to the daemon `id`.
     fn lends_to(&self, now: Time, id: &str) -> bool {
-        self.is_told_of(now) && self.digest.as_ref().is_some_and(|digest| digest.keeper == id)
+        self.has_fresh_digest(now) && self.digest.as_ref().is_some_and(|digest| digest.keeper == id)
     }
 
     /// Whether neither of its last two digests is overdue.
-    fn is_told_of(&self, now: Time) -> bool {
-        let lasts = |digest: &Digest| digest.interval * 2 + LENT_FOR;
+    fn has_fresh_digest(&self, now: Time) -> bool {
+        let lasts = |digest: &Digest| digest.interval * 2 + LENDING_GRACE;
         let lasts = self.digest.as_ref().map(lasts);
         self.heard.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
     }
@@ -49,13 +49,13 @@
 
 impl Node {
     /// Looks at who keeps the quotas and what this daemon may let in.
-    pub(super) fn look_at_quotas(&mut self, now: Time) {
+    pub(super) fn update_quota_role(&mut self, now: Time) {
         let keeper = self.quota_keeper(now);
         if keeper != self.quota_leadership.keeper {
             let former = self.quota_leadership.keeper.as_str();
             let stopped = self.peers.get(former).is_some_and(Peer::is_draining);
             // Who has just started lends its share for the first time, so nobody else counts it.
-            let wait = if former.is_empty() || stopped { Duration::ZERO } else { TAKES_OVER };
+            let wait = if former.is_empty() || stopped { Duration::ZERO } else { KEEPER_TAKEOVER };
             self.quota_leadership.taking_over_until = now + wait;
             self.quota_leadership.keeper = keeper;
             self.next_digest = self.next_digest.min(now + INTERVAL / 5);
@@ -64,16 +64,16 @@
         let keeps = matches!(role, Role::Keeper { .. });
         self.quota_leadership.since = keeps.then(|| self.quota_leadership.since.unwrap_or(now));
         self.quota.set_role(now, role);
-        self.look_at_undecided(now);
+        self.retry_undecided(now);
     }
 
     /// Tries what waits for a daemon that may let it in once more.
-    fn look_at_undecided(&mut self, now: Time) {
+    fn retry_undecided(&mut self, now: Time) {
         for key in std::mem::take(&mut self.quota_leadership.undecided) {
             if let Some(request) = self.requests.get_mut(&key) {
                 request.submissions = 0;
             }
-            if !self.submit(now, key) && self.let_in(now, key) {
+            if !self.submit(now, key) && self.charge_quota(now, key) {
                 self.send_or_wait(now, key);
             }
         }
@@ -81,7 +81,7 @@
 
     /// Has a request wait a little for a daemon that may let it in, where this one hears of none: it could not know,
     /// and right after a start others soon do. False once it has waited for that.
-    fn may_wait_undecided(&mut self, now: Time, key: Key) -> bool {
+    fn wait_for_keeper(&mut self, now: Time, key: Key) -> bool {
         let knows = !matches!(self.quota.role(), Role::Other { .. });
         let Some(request) = self.requests.get_mut(&key) else { return false };
         if knows || request.origin.is_some() || self.draining {
@@ -117,11 +117,13 @@
         let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemons();
         if !is_keeper {
             let keeper = self.peers.get(&self.quota_leadership.keeper);
-            return Role::Deputy { is_told: keeper.is_some_and(|keeper| keeper.is_told_of(now)) };
+            return Role::Deputy {
+                is_told: keeper.is_some_and(|keeper| keeper.has_fresh_digest(now)),
+            };
         }
         let lent = (lenders + 1) as f64 / self.lending_daemons(now) as f64;
         let since = self.quota_leadership.since.unwrap_or(now);
-        let is_new = now < self.quota_leadership.taking_over_until.min(since + TAKES_OVER);
+        let is_new = now < self.quota_leadership.taking_over_until.min(since + KEEPER_TAKEOVER);
         Role::Keeper { lent: lent.min(1.0), is_new }
     }
 
@@ -129,7 +131,7 @@
     /// other side of a cut they are not most.
     fn lending_daemons(&self, now: Time) -> usize {
         let daemons = self.daemons();
-        let gone = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + GONE_AFTER;
+        let gone = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + PEER_SILENCE_MAX;
         let gone = self.peers.values().filter(gone).count();
         let rest = daemons.saturating_sub(gone).max(1);
         if rest * 2 > daemons { rest } else { daemons }
@@ -153,7 +155,7 @@
     }
 
     /// Counts a request against its workspace's quota; where nothing is left it is refused, and false.
-    pub(super) fn let_in(&mut self, now: Time, key: Key) -> bool {
+    pub(super) fn charge_quota(&mut self, now: Time, key: Key) -> bool {
         let Some((workspace, quota, units)) = self.units(key) else { return true };
         let Some(request) = self.requests.get(&key) else { return false };
         if request.runs > 0 || request.counted > 0 {
@@ -170,7 +172,7 @@
                 }
                 true
             }
-            Err(_) if self.may_wait_undecided(now, key) => false,
+            Err(_) if self.wait_for_keeper(now, key) => false,
             Err(over) => {
                 let after = self.spread(over.after.unwrap_or(longest / 2)).min(longest);
                 self.log_over_quota(key, &workspace, quota, units, over);
@@ -184,7 +186,7 @@
     }
 
     /// Counts the run that is about to begin, where it is one more than was let in.
-    pub(super) fn count_run(&mut self, now: Time, key: Key) {
+    pub(super) fn charge_run(&mut self, now: Time, key: Key) {
         let Some((workspace, _, units)) = self.units(key) else { return };
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.runs >= request.counted {
@@ -194,7 +196,7 @@
     }
 
     /// Gives back what was counted for a request that ends and did not run.
-    pub(super) fn give_back(&mut self, now: Time, key: Key) {
+    pub(super) fn refund_quota(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let spare = u64::from(request.counted.saturating_sub(request.runs));
         if spare > 0
@@ -205,7 +207,7 @@
     }
 
     /// Takes over what a peer used. Daemons that do not schedule have no use for it.
-    pub(super) fn hear_used(&mut self, now: Time, digest: &Digest) {
+    pub(super) fn record_peer_usage(&mut self, now: Time, digest: &Digest) {
         if !digest.used.is_empty() && self.is_scheduler(now) {
             let table = self.table.clone();
             let quota = |workspace: &str| table.as_ref()?.quota(workspace);
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -67,9 +67,9 @@
             return;
         }
         self.counts.recalled += 1;
-        self.log_taken_back(Event::RequestRecalled, now, key);
+        self.log_withdrawn(Event::RequestRecalled, now, key);
         self.command(key, Command::GiveUp);
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// Sends a request elsewhere whose server has fallen silent, where its route allows it.
@@ -77,18 +77,18 @@
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, at, .. } = request.phase else { return };
         let pool = request.pool.clone();
-        if !request.may_repeat() || self.may_end_servers(now, key) {
+        if !request.may_repeat() || self.may_crash_servers(now, key) {
             return;
         }
         let Some(choice) = self.place(now, key) else { return };
-        if request.tried.contains(&choice.server) || !self.spend(now, &pool) {
+        if request.tried.contains(&choice.server) || !self.spend_retry(now, &pool) {
             return;
         }
         self.counts.moved += 1;
-        self.log_taken_back(Event::RequestMoved, now, key);
+        self.log_withdrawn(Event::RequestMoved, now, key);
         // It may be what silenced the server; whether that has ended its registration will tell.
         self.connection_lost(now, key, server, now.saturating_sub(at));
-        self.release(key);
+        self.release_slot(key);
         self.dispatch(now, key, choice);
     }
 }
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -138,8 +138,8 @@
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
             Change::Router { id, address, cores } => self.meet(now, id, address, cores),
-            Change::Blocked(told) => self.block_kept(now, told),
-            Change::Unblocked(fingerprint) => self.block_gone(now, fingerprint),
+            Change::Blocked(told) => self.block_stored(now, told),
+            Change::Unblocked(fingerprint) => self.block_removed(now, fingerprint),
             Change::Nothing => {}
         }
     }
@@ -217,7 +217,7 @@
         let lost: Vec<Key> = there.into_iter().map(|(key, _)| key).filter(repeatable).collect();
         for key in lost {
             self.log_failed(key, former, "its server has started again");
-            self.repeat(now, key);
+            self.retry_or_give_up(now, key);
         }
     }
 
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -26,11 +26,11 @@
             }
             Report::Ended => {
                 self.heard(now, server);
-                self.was_served(now, key);
+                self.request_answered(now, key);
                 if let Some(server) = self.servers.get_mut(server) {
                     server.record_success();
                 }
-                self.forget(now, key);
+                self.remove_request(now, key);
             }
             Report::Refused(refused) => {
                 request.runs -= 1;
@@ -38,14 +38,14 @@
                 self.log_declined(key, server, refused);
                 self.heard(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
-                self.again(now, key, true, Code::QueueFull);
+                self.retry_unexecuted(now, key, true, Code::QueueFull);
             }
             Report::Unsent => {
                 request.runs -= 1;
                 self.counts.unsent += 1;
                 self.log_failed(key, server, "it could not be connected to");
                 self.note_failure(now, server);
-                self.again(now, key, false, Code::RetriesExhausted);
+                self.retry_unexecuted(now, key, false, Code::RetriesExhausted);
             }
             Report::Lost(loss) => {
                 self.counts.lost += 1;
@@ -54,19 +54,19 @@
                     self.connection_lost(now, key, server, now.saturating_sub(at));
                 }
                 self.note_failure(now, server);
-                self.repeat(now, key);
+                self.retry_or_give_up(now, key);
             }
             Report::Failed => {
                 self.counts.failed += 1;
                 self.log_failed(key, server, "it answered with a failure of its own");
                 self.heard(now, server);
-                self.repeat(now, key);
+                self.retry_or_give_up(now, key);
             }
         }
     }
 
     pub(super) fn heard(&mut self, now: Time, server: server::Key) {
-        self.lives(now, server);
+        self.server_answered(now, server);
         if let Some(server) = self.servers.get_mut(server) {
             server.last_answer_at = Some(now);
         }
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -10,25 +10,25 @@
 use crate::prelude::*;
 
 /// Sends of one request at most, those that were refused or never left included.
-const MAX_SENDS: u32 = 6;
+const MAX_SENDS_PER_REQUEST: u32 = 6;
 /// Idle connections to one server that a daemon keeps at most: what it has in flight there at its
 /// share of the load.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 /// The part of the fixed number of repeats that each scheduler may use: no more than all of them have,
 /// also while others take over from those that have just ended.
-const SCHEDULER_SLACK: f64 = 1.0 / 6.0;
+const SCHEDULER_SLACK_SHARE: f64 = 1.0 / 6.0;
 /// The part of it that all other daemons may use together.
-const OTHERS_SLACK: f64 = 0.25;
+const OTHERS_SLACK_SHARE: f64 = 0.25;
 
 impl Node {
     /// This daemon's part of the retry budget. All that have just started together take themselves for
     /// schedulers until they hear of each other, and without the daemons' registrations nobody knows how
     /// many share the fixed number.
-    pub(super) fn terms(&self, now: Time) -> Terms {
+    pub(super) fn retry_terms(&self, now: Time) -> Terms {
         let part = if self.is_scheduler(now) && !self.has_just_started(now) {
-            SCHEDULER_SLACK
+            SCHEDULER_SLACK_SHARE
         } else if self.known_topics.contains(&Topic::Routers) {
-            OTHERS_SLACK / self.daemons() as f64
+            OTHERS_SLACK_SHARE / self.daemons() as f64
         } else {
             0.0
         };
@@ -36,13 +36,13 @@
         Terms { window: self.policy.retry_window, ratio: self.policy.retry_ratio, slack }
     }
 
-    pub(super) fn spend(&mut self, now: Time, pool: &str) -> bool {
-        let terms = self.terms(now);
+    pub(super) fn spend_retry(&mut self, now: Time, pool: &str) -> bool {
+        let terms = self.retry_terms(now);
         self.budgets.entry(pool.to_owned()).or_default().spend(now, terms)
     }
 
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival) {
-        let pool = self.split(&arrival);
+        let pool = self.choose_pool(&arrival);
         let key = arrival.request;
         let request = Request::new(now, arrival, pool, None);
         self.requests.insert(key, request);
@@ -52,12 +52,12 @@
         if !self.submit(now, key)
             && let Some(request) = self.requests.remove(&key)
         {
-            self.take_in(now, request.arrival, request.pool, None);
+            self.accept(now, request.arrival, request.pool, None);
         }
     }
 
     /// Takes a request in that this daemon places.
-    pub(super) fn take_in(
+    pub(super) fn accept(
         &mut self,
         now: Time,
         arrival: Arrival,
@@ -65,7 +65,7 @@
         origin: Option<Origin>,
     ) {
         self.sum_others(now);
-        let terms = self.terms(now);
+        let terms = self.retry_terms(now);
         self.budgets.entry(pool.clone()).or_default().earn(now, terms);
         if let Some(prompt) = &arrival.prompt {
             let isolated = arrival.workspace.as_ref().filter(|owner| owner.isolated);
@@ -79,13 +79,13 @@
         if self.is_blocked(key) {
             return self.refuse_blocked(now, key);
         }
-        if self.let_in(now, key) {
+        if self.charge_quota(now, key) {
             self.send_or_wait(now, key);
         }
     }
 
     /// The pool for a request, by the weights of its route's splits.
-    pub(super) fn split(&mut self, arrival: &Arrival) -> String {
+    pub(super) fn choose_pool(&mut self, arrival: &Arrival) -> String {
         let splits = &arrival.route.splits;
         let total: u32 = splits.iter().map(|split| split.weight).sum();
         let mut drawn = self.rng.u32(0..total.max(1));
@@ -101,7 +101,7 @@
     pub(super) fn try_send(&mut self, now: Time, key: Key) -> bool {
         self.refill_link(now);
         let Some(choice) = self.place(now, key) else { return false };
-        if !self.pay(now, key) {
+        if !self.charge_retry(now, key) {
             return false;
         }
         self.dispatch(now, key, choice);
@@ -109,10 +109,10 @@
     }
 
     /// Draws what a request owes to the retry budget; false where nothing is left of it now.
-    fn pay(&mut self, now: Time, key: Key) -> bool {
+    fn charge_retry(&mut self, now: Time, key: Key) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
         let pool = request.pool.clone();
-        if request.owes && !self.spend(now, &pool) {
+        if request.owes && !self.spend_retry(now, &pool) {
             return false;
         }
         if let Some(request) = self.requests.get_mut(&key) {
@@ -123,16 +123,16 @@
 
     /// Idle connections to one server that this daemon may keep: its part of half of what the server
     /// accepts from all callers, since those at work count too.
-    pub(super) fn most_idle(&self, key: Key) -> usize {
+    pub(super) fn max_idle_connections(&self, key: Key) -> usize {
         let table = self.table.as_ref();
         let pool = self.requests.get(&key).and_then(|request| table?.pool(&request.pool));
         let accepted = pool.map_or(u32::MAX, |pool| pool.max_connections) as usize;
-        (accepted / 2 / self.daemons()).clamp(1, MAX_IDLE)
+        (accepted / 2 / self.daemons()).clamp(1, MAX_IDLE_CONNECTIONS)
     }
 
     pub(super) fn dispatch(&mut self, now: Time, key: Key, choice: Choice) {
-        let most_idle = self.most_idle(key);
-        self.count_run(now, key);
+        let most_idle = self.max_idle_connections(key);
+        self.charge_run(now, key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Some(server) = self.servers.get_mut(choice.server) else { return };
         request.sends += 1;
@@ -176,11 +176,11 @@
     /// Sends a request once more that provably did not run; `arrived` tells whether it reached its
     /// server, which counts against the budget. Where that is used up the request waits for it as it
     /// would for a server.
-    pub(super) fn again(&mut self, now: Time, key: Key, arrived: bool, code: Code) {
-        self.release(key);
+    pub(super) fn retry_unexecuted(&mut self, now: Time, key: Key, arrived: bool, code: Code) {
+        self.release_slot(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         request.owes |= arrived;
-        if request.sends >= MAX_SENDS {
+        if request.sends >= MAX_SENDS_PER_REQUEST {
             return self.refuse(now, key, code);
         }
         self.send_or_wait(now, key);
@@ -188,20 +188,20 @@
 
     /// Sends a request once more that may have run, where its route allows it and it is not likely to be
     /// what ended its server.
-    pub(super) fn repeat(&mut self, now: Time, key: Key) {
-        self.release(key);
-        let harmless = !self.may_end_servers(now, key);
+    pub(super) fn retry_or_give_up(&mut self, now: Time, key: Key) {
+        self.release_slot(key);
+        let harmless = !self.may_crash_servers(now, key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() && harmless {
             request.owes = true;
             return self.send_or_wait(now, key);
         }
         self.command(key, Command::GiveUp);
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// Frees what a sent request holds at its server.
-    pub(super) fn release(&mut self, key: Key) {
+    pub(super) fn release_slot(&mut self, key: Key) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Phase::Sent { server, tokens, begun, .. } = request.phase else { return };
         request.phase = Phase::Waiting(Time::ZERO);
@@ -213,10 +213,10 @@
         }
     }
 
-    pub(super) fn forget(&mut self, now: Time, key: Key) {
-        self.release(key);
+    pub(super) fn remove_request(&mut self, now: Time, key: Key) {
+        self.release_slot(key);
         self.withdraw(key);
-        self.give_back(now, key);
+        self.refund_quota(now, key);
         self.quota_leadership.undecided.remove(&key);
         if let Some(request) = self.requests.remove(&key) {
             if let Some(origin) = &request.origin {
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -19,21 +19,21 @@
 use crate::telemetry::metrics::Figure;
 
 /// Time between two ticks while requests wait or engines load.
-const TICK: Duration = Duration::from_millis(20);
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two ticks while nothing is pressing.
-const QUIET_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Messages taken between two looks at the clock.
-const MAX_BURST: usize = 256;
+const MAX_MESSAGES_PER_BATCH: usize = 256;
 
 /// What the control thread is sent.
 #[derive(Debug)]
-pub(crate) enum Letter {
+pub(crate) enum Input {
     /// A message to the node.
     Message(Box<Message>),
     /// A request, and where its commands go.
     Open(Box<Arrival>, Sender<Command>),
     /// A question for the state, and where it goes.
-    Figures(Sender<Vec<Figure>>),
+    Metrics(Sender<Vec<Figure>>),
 }
 
 /// What other threads see of the node without asking it.
@@ -42,32 +42,32 @@
     table: RwLock<Option<Arc<Table>>>,
     ready: AtomicBool,
     draining: AtomicBool,
-    open: AtomicUsize,
-    next_request: AtomicU64,
-    next_lease: AtomicU64,
+    open_requests: AtomicUsize,
+    next_request_key: AtomicU64,
+    next_lease_offset: AtomicU64,
     /// The offset before which no record is missing, by topic.
-    ends: [AtomicU64; Topic::ALL.len()],
+    end_offsets: [AtomicU64; Topic::ALL.len()],
     /// How what is tracked is read, in the order of [`Tracked::ALL`].
-    readings: [Reading; Tracked::ALL.len()],
+    read_schedules: [ReadSchedule; Tracked::ALL.len()],
 }
 
 /// How one of what is tracked is to be read.
 #[derive(Debug, Default)]
-struct Reading {
+struct ReadSchedule {
     /// Whether this daemon leaves it to others.
-    left_to_others: AtomicBool,
+    delegated: AtomicBool,
     /// Milliseconds from a read that brought something to the next.
-    pace: AtomicU64,
+    interval_ms: AtomicU64,
     /// Milliseconds that a read may wait for a record.
-    wait: AtomicU64,
+    max_wait_ms: AtomicU64,
     /// Milliseconds from a read that failed to the next.
-    pause: AtomicU64,
+    retry_delay_ms: AtomicU64,
 }
 
 /// A handle to the control thread.
 #[derive(Clone)]
 pub struct Control {
-    mailbox: Sender<Letter>,
+    sender: Sender<Input>,
     view: Arc<View>,
     /// The clock that all threads share.
     pub clock: Clock,
@@ -84,50 +84,50 @@
 impl Fleet {
     /// Starts the control thread; frames to peers are sent on `executor`.
     pub fn start(node: Node, executor: &Arc<Executor<'static>>) -> Self {
-        let (control, letters) = Control::new();
-        let (outward, effects) = async_channel::unbounded();
+        let (control, inputs) = Control::new();
+        let (platform_effects, effects) = async_channel::unbounded();
         let worker = Worker {
             node,
             control: control.clone(),
-            outward,
+            platform_effects,
             executor: Arc::clone(executor),
             links: Links::default(),
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
         };
-        thread::spawn(move || worker.run(&letters));
+        thread::spawn(move || worker.run(&inputs));
         Self { control, effects }
     }
 }
 
 impl Control {
-    /// A handle, and the letters that are sent with it.
-    pub(crate) fn new() -> (Self, Receiver<Letter>) {
-        let (mailbox, letters) = async_channel::unbounded();
-        (Self { mailbox, view: Arc::default(), clock: Clock::start() }, letters)
+    /// A handle, and the inputs that are sent with it.
+    pub(crate) fn new() -> (Self, Receiver<Input>) {
+        let (sender, inputs) = async_channel::unbounded();
+        (Self { sender, view: Arc::default(), clock: Clock::start() }, inputs)
     }
 
     /// Sends a message; nothing comes back.
     pub fn tell(&self, message: Message) {
-        self.mailbox.try_send(Letter::Message(Box::new(message))).ok();
+        self.sender.try_send(Input::Message(Box::new(message))).ok();
     }
 
     /// Hands a request over; commands for it come on the channel returned.
     pub fn open(&self, arrival: Arrival) -> Receiver<Command> {
         let (sender, receiver) = async_channel::unbounded();
-        self.mailbox.try_send(Letter::Open(Box::new(arrival), sender)).ok();
+        self.sender.try_send(Input::Open(Box::new(arrival), sender)).ok();
         receiver
     }
 
     /// The state for metrics; nothing where the control thread has ended.
-    pub async fn figures(&self) -> Vec<Figure> {
+    pub async fn metrics(&self) -> Vec<Figure> {
         let (sender, receiver) = async_channel::bounded(1);
-        self.mailbox.try_send(Letter::Figures(sender)).ok();
+        self.sender.try_send(Input::Metrics(sender)).ok();
         receiver.recv().await.unwrap_or_default()
     }
 
     /// A key for a new request.
-    pub fn next_request(&self) -> Key {
-        Key(self.view.next_request.fetch_add(1, Ordering::Relaxed))
+    pub fn next_request_key(&self) -> Key {
+        Key(self.view.next_request_key.fetch_add(1, Ordering::Relaxed))
     }
 
     /// The table in force.
@@ -136,7 +136,7 @@
     }
 
     /// Makes this the table in force.
-    pub(crate) fn show(&self, table: Arc<Table>) {
+    pub(crate) fn set_table(&self, table: Arc<Table>) {
         if let Ok(mut current) = self.view.table.write() {
             *current = Some(table);
         }
@@ -154,41 +154,41 @@
 
     /// Requests that are waiting or sent.
     pub fn open_requests(&self) -> usize {
-        self.view.open.load(Ordering::Acquire)
+        self.view.open_requests.load(Ordering::Acquire)
     }
 
     /// The offset from which the lease is to be read next.
-    pub fn next_lease(&self) -> u64 {
-        self.view.next_lease.load(Ordering::Acquire)
+    pub fn next_lease_offset(&self) -> u64 {
+        self.view.next_lease_offset.load(Ordering::Acquire)
     }
 
     /// The offset of a topic before which no record is missing, whoever told of it.
-    pub fn end(&self, topic: Topic) -> u64 {
-        self.view.ends[topic as usize].load(Ordering::Acquire)
+    pub fn end_offset(&self, topic: Topic) -> u64 {
+        self.view.end_offsets[topic as usize].load(Ordering::Acquire)
     }
 
     /// Time from a read that brought something to the next one.
-    pub fn pace(&self, tracked: Tracked) -> Duration {
-        Duration::from_millis(self.reading(tracked).pace.load(Ordering::Acquire))
+    pub fn read_interval(&self, tracked: Tracked) -> Duration {
+        Duration::from_millis(self.read_schedule(tracked).interval_ms.load(Ordering::Acquire))
     }
 
     /// Time that a read may wait for a record.
-    pub fn wait(&self, tracked: Tracked) -> Duration {
-        Duration::from_millis(self.reading(tracked).wait.load(Ordering::Acquire))
+    pub fn max_read_wait(&self, tracked: Tracked) -> Duration {
+        Duration::from_millis(self.read_schedule(tracked).max_wait_ms.load(Ordering::Acquire))
     }
 
     /// Time from a read that failed to the next one.
-    pub fn pause(&self, tracked: Tracked) -> Duration {
-        Duration::from_millis(self.reading(tracked).pause.load(Ordering::Acquire))
+    pub fn read_retry_delay(&self, tracked: Tracked) -> Duration {
+        Duration::from_millis(self.read_schedule(tracked).retry_delay_ms.load(Ordering::Acquire))
     }
 
     /// Whether this daemon is to read what is tracked.
-    pub fn reads(&self, tracked: Tracked) -> bool {
-        !self.reading(tracked).left_to_others.load(Ordering::Acquire)
+    pub fn should_read(&self, tracked: Tracked) -> bool {
+        !self.read_schedule(tracked).delegated.load(Ordering::Acquire)
     }
 
-    fn reading(&self, tracked: Tracked) -> &Reading {
-        &self.view.readings[tracked.index()]
+    fn read_schedule(&self, tracked: Tracked) -> &ReadSchedule {
+        &self.view.read_schedules[tracked.index()]
     }
 }
 
@@ -196,54 +196,59 @@
 struct Worker {
     node: Node,
     control: Control,
-    outward: Sender<Effect>,
+    platform_effects: Sender<Effect>,
     executor: Arc<Executor<'static>>,
     links: Links,
-    open: BTreeMap<Key, Sender<Command>>,
+    open_requests: BTreeMap<Key, Sender<Command>>,
 }
 
 impl Worker {
-    fn run(mut self, letters: &Receiver<Letter>) {
+    fn run(mut self, inputs: &Receiver<Input>) {
         let mut next_tick = Time::ZERO;
         loop {
             let now = self.control.clock.now();
             if now >= next_tick {
                 let effects = self.node.apply(now, Message::Tick);
-                self.carry(effects);
-                self.publish_readings(now);
-                next_tick = now + if self.node.needs_fast_ticks() { TICK } else { QUIET_TICK };
+                self.execute(effects);
+                self.publish_read_schedules(now);
+                next_tick = now
+                    + if self.node.needs_fast_ticks() {
+                        BUSY_TICK_INTERVAL
+                    } else {
+                        IDLE_TICK_INTERVAL
+                    };
             }
             self.publish();
             let wait = async {
                 Timer::after(next_tick.saturating_sub(self.control.clock.now())).await;
                 Ok(None)
             };
-            let receive = async { letters.recv().await.map(Some) };
-            let Ok(mut letter) = block_on(receive.or(wait)) else { return };
-            for _ in 0..MAX_BURST {
-                let Some(current) = letter else { break };
-                self.take(current);
-                letter = letters.try_recv().ok();
+            let receive = async { inputs.recv().await.map(Some) };
+            let Ok(mut input) = block_on(receive.or(wait)) else { return };
+            for _ in 0..MAX_MESSAGES_PER_BATCH {
+                let Some(current) = input else { break };
+                self.handle(current);
+                input = inputs.try_recv().ok();
             }
-            if let Some(last) = letter {
-                self.take(last);
+            if let Some(last) = input {
+                self.handle(last);
             }
             if self.node.needs_fast_ticks() {
-                next_tick = next_tick.min(self.control.clock.now() + TICK);
+                next_tick = next_tick.min(self.control.clock.now() + BUSY_TICK_INTERVAL);
             }
         }
     }
 
-    fn take(&mut self, letter: Letter) {
+    fn handle(&mut self, input: Input) {
         let now = self.control.clock.now();
-        let message = match letter {
-            Letter::Message(message) => *message,
-            Letter::Open(arrival, sender) => {
-                self.open.insert(arrival.request, sender);
+        let message = match input {
+            Input::Message(message) => *message,
+            Input::Open(arrival, sender) => {
+                self.open_requests.insert(arrival.request, sender);
                 Message::Arrive(arrival)
             }
-            Letter::Figures(sender) => {
-                sender.try_send(self.node.figures(now)).ok();
+            Input::Metrics(sender) => {
+                sender.try_send(self.node.metrics(now)).ok();
                 return;
             }
         };
@@ -252,17 +257,17 @@
             _ => None,
         };
         let effects = self.node.apply(now, message);
-        self.carry(effects);
+        self.execute(effects);
         if let Some(key) = left {
-            self.open.remove(&key);
+            self.open_requests.remove(&key);
         }
     }
 
-    fn carry(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Command(key, command) => self.command(key, command),
-                Effect::Table(table) => self.control.show(table),
+                Effect::Command(key, command) => self.send_command(key, command),
+                Effect::Table(table) => self.control.set_table(table),
                 Effect::Send(addresses, frame) => {
                     let bytes = Bytes::from(frame.encode());
                     for address in addresses {
@@ -270,33 +275,33 @@
                     }
                 }
                 Effect::Event(event, detail) => emit(event, detail),
-                outward @ (Effect::AppendLease(_)
+                platform_effect @ (Effect::AppendLease(_)
                 | Effect::Order { .. }
                 | Effect::Poll(..)
                 | Effect::ReadEvents { .. }
                 | Effect::Probe(..)
                 | Effect::WriteBlock(..)
                 | Effect::Disconnect(_)) => {
-                    self.outward.try_send(outward).ok();
+                    self.platform_effects.try_send(platform_effect).ok();
                 }
             }
         }
     }
 
-    fn command(&mut self, key: Key, command: Command) {
-        if let Some(sender) = self.open.get(&key) {
+    fn send_command(&mut self, key: Key, command: Command) {
+        if let Some(sender) = self.open_requests.get(&key) {
             sender.try_send(command).ok();
         }
     }
 
-    fn publish_readings(&self, now: Time) {
+    fn publish_read_schedules(&self, now: Time) {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         for tracked in Tracked::ALL {
-            let reading = self.control.reading(tracked);
-            reading.left_to_others.store(!self.node.reads(now, tracked), Ordering::Release);
-            reading.pace.store(ms(self.node.pace(now, tracked)), Ordering::Release);
-            reading.wait.store(ms(self.node.wait(now, tracked)), Ordering::Release);
-            reading.pause.store(ms(self.node.pause()), Ordering::Release);
+            let schedule = self.control.read_schedule(tracked);
+            schedule.delegated.store(!self.node.reads(now, tracked), Ordering::Release);
+            schedule.interval_ms.store(ms(self.node.pace(now, tracked)), Ordering::Release);
+            schedule.max_wait_ms.store(ms(self.node.wait(now, tracked)), Ordering::Release);
+            schedule.retry_delay_ms.store(ms(self.node.pause()), Ordering::Release);
         }
     }
 
@@ -304,10 +309,10 @@
         let view = &self.control.view;
         view.ready.store(self.node.is_ready(), Ordering::Release);
         view.draining.store(self.node.is_draining(), Ordering::Release);
-        view.open.store(self.node.open_requests(), Ordering::Release);
-        view.next_lease.store(self.node.next_lease_offset(), Ordering::Release);
+        view.open_requests.store(self.node.open_requests(), Ordering::Release);
+        view.next_lease_offset.store(self.node.next_lease_offset(), Ordering::Release);
         for topic in Topic::ALL {
-            view.ends[topic as usize].store(self.node.end_offset(topic), Ordering::Release);
+            view.end_offsets[topic as usize].store(self.node.end_offset(topic), Ordering::Release);
         }
     }
 }
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -92,7 +92,7 @@
         let newcomers = schedulers.iter().filter(|id| !self.ranking.schedulers.contains(id));
         let newcomers = newcomers.filter_map(|id| self.peer_address(id)).collect();
         self.ranking.schedulers = schedulers;
-        self.hand_strikes(now, newcomers);
+        self.send_known_crashes(now, newcomers);
     }
 
     /// Whether this daemon schedules and tells all daemons so.
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -74,11 +74,11 @@
         }
         if let Some(known) = self.served.key(&origin.daemon, origin.request) {
             // The daemon has started again and counts from the beginning.
-            self.forget(now, known);
+            self.remove_request(now, known);
         }
         let key = self.served.add(&origin.daemon, origin.request);
         let (pool, arrival) = arrival(now, key, submission);
-        self.take_in(now, arrival, pool, Some(origin));
+        self.accept(now, arrival, pool, Some(origin));
     }
 
     /// Tells the daemon that has a request that it waits here, at first or once more: a scheduler that
@@ -94,7 +94,7 @@
     pub(in crate::fleet) fn progress_came(&mut self, now: Time, progress: Progress) {
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
-            Step::Left => self.forget(now, key),
+            Step::Left => self.remove_request(now, key),
             Step::Report(report) => self.report(now, key, progress.attempt, report),
         }
     }
@@ -146,7 +146,7 @@
         let waiting: Vec<(Key, Origin)> = waiting.collect();
         for (key, origin) in waiting {
             self.rule(&origin, Ruling::Return);
-            self.forget(now, key);
+            self.remove_request(now, key);
         }
     }
 
@@ -173,7 +173,7 @@
         });
         let over: Vec<Key> = over.map(|(key, _)| *key).collect();
         for key in over {
-            self.forget(now, key);
+            self.remove_request(now, key);
         }
     }
 }
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -108,7 +108,7 @@
         if !self.may_be_sent(now, key, server, assignment.weights) {
             return self.leave_scheduler(now, key);
         }
-        let most_idle = self.most_idle(key);
+        let most_idle = self.max_idle_connections(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         request.sends += 1;
         request.runs += 1;
@@ -172,7 +172,7 @@
             }
             Report::Ended => {
                 self.heard(now, server);
-                self.was_served(now, key);
+                self.request_answered(now, key);
                 self.requests.remove(&key);
             }
             Report::Refused(refused) => {
@@ -231,7 +231,7 @@
             return;
         }
         self.effects.push(Effect::Command(key, Command::GiveUp));
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// Decides by itself on requests whose scheduler has left them without a word or is gone.
@@ -280,7 +280,7 @@
         request.scheduler.clear();
         let Stage::Placed(Placed { server, tokens, begun, at, .. }) = stage else {
             request.phase = Phase::Waiting(now);
-            if !self.submit(now, key) && self.let_in(now, key) {
+            if !self.submit(now, key) && self.charge_quota(now, key) {
                 self.send_or_wait(now, key);
             }
             return;
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -152,7 +152,7 @@
     pub(super) fn check_budget(&mut self) {
         let steady: Vec<usize> = (0..self.vms.len()).filter(|vm| self.is_steady(*vm)).collect();
         let left = |vm: &usize| {
-            Some(Budget::default().left(self.now, self.node(*vm)?.terms(self.now)) as f64)
+            Some(Budget::default().left(self.now, self.node(*vm)?.retry_terms(self.now)) as f64)
         };
         let taken: f64 = steady.iter().filter_map(left).sum();
         if let Some(first) = steady.first().filter(|_| taken > POLICY.retry_slack) {
--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -9,7 +9,7 @@
 const NEXT: (&str, &str) = ("e-1", "engine 21 ready 1 born:2000");
 
 fn shown(daemon: &mut Daemon, now: Time, name: &str) -> Vec<String> {
-    let figures = daemon.node.figures(now);
+    let figures = daemon.node.metrics(now);
     let named = figures.iter().filter(|figure| figure.name == name);
     named.map(|figure| figure.value.to_string()).collect()
 }
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -229,9 +229,9 @@
     let shares = (1..=71).map(|last| {
         let mut daemon = Daemon::new(last);
         daemon.tick(ms(10));
-        let before = daemon.node.terms(ms(15)).slack;
+        let before = daemon.node.retry_terms(ms(15)).slack;
         read_whole(&mut daemon, ms(20), batch(Topic::Routers, 0, 71, &routers));
-        before.max(daemon.node.terms(ms(30)).slack)
+        before.max(daemon.node.retry_terms(ms(30)).slack)
     });
     let taken: f64 = shares.sum();
     assert!(taken <= POLICY.retry_slack, "{taken}");
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -224,7 +224,7 @@
 #[test]
 fn repeats_of_all_daemons_stay_within_the_budget() {
     let site = Site::new(12, &SERVERS);
-    let slack = |daemon: &Daemon| daemon.node.terms(site.now).slack;
+    let slack = |daemon: &Daemon| daemon.node.retry_terms(site.now).slack;
     let all: f64 = site.daemons.iter().map(slack).sum();
     assert!(all <= POLICY.retry_slack, "{all}");
     let scheduler = site.scheduler("plain");
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -189,7 +189,7 @@
         request,
         body,
         workspace,
-        key: entry.control.next_request(),
+        key: entry.control.next_request_key(),
         deadline: log.started + ask.patience.unwrap_or(limit),
         ask,
         progress: Progress::default(),
--- a/src/relay/tests/passage.rs
+++ b/src/relay/tests/passage.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, block_on};
 
-use crate::fleet::{Arrival, Command, Control, Dispatch, Letter, Loss, Message, Report};
+use crate::fleet::{Arrival, Command, Control, Dispatch, Input, Loss, Message, Report};
 use crate::prelude::*;
 use crate::relay::*;
 use crate::route::{Limits, Repeat, Route, Split, Table, Workspace};
@@ -124,13 +124,13 @@
 struct Scene {
     entry: Arc<Entry>,
     caller: TcpStream,
-    letters: Receiver<Letter>,
+    letters: Receiver<Input>,
 }
 
 impl Scene {
     fn start(streams: bool) -> Self {
         let (control, letters) = Control::new();
-        control.show(table(streams));
+        control.set_table(table(streams));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let caller = TcpStream::connect(listener.local_addr().expect("it is bound"));
         let mut caller = caller.expect("it listens");
@@ -151,14 +151,14 @@
 
     fn opened(&self) -> (Box<Arrival>, Sender<Command>) {
         match self.letters.recv_blocking() {
-            Ok(Letter::Open(arrival, commands)) => (arrival, commands),
+            Ok(Input::Open(arrival, commands)) => (arrival, commands),
             other => panic!("a request was expected: {other:?}"),
         }
     }
 
     fn report(&self) -> (u32, Report) {
         match self.letters.recv_blocking() {
-            Ok(Letter::Message(message)) => match *message {
+            Ok(Input::Message(message)) => match *message {
                 Message::Report { attempt, report, .. } => (attempt, report),
                 other => panic!("a report was expected: {other:?}"),
             },
@@ -250,7 +250,7 @@
     // Control has no open request by now, and the caller no answer.
     assert_eq!(scene.entry.control.open_requests(), 0);
     assert_eq!(block_on(drain(&scene.entry, Duration::from_millis(50))), 1);
-    let Ok(Letter::Message(message)) = scene.letters.recv_blocking() else {
+    let Ok(Input::Message(message)) = scene.letters.recv_blocking() else {
         panic!("a message was expected")
     };
     assert_eq!(*message, Message::StopEnds);
