--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions for requests that are passed on as they are: where each goes, what is tried again, which
-//! weights the engines load, and what daemons tell each other for it.
+//! Decisions for requests that are forwarded unchanged: placement, retries, the weights that engines
+//! load, and the state that daemons exchange for these decisions.
 //!
-//! [`Node`] is a deterministic state machine without I/O, as [`crate::control::Node`] is for the
+//! [`Node`] is a deterministic state machine without I/O, like [`crate::control::Node`] for the
 //! product's own interface.
 
 mod admission;
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and the life of a request.
+//! The decision state of a daemon, and the dispatch of its messages.
 
 use std::net::SocketAddr;
 
@@ -26,41 +26,41 @@
 use crate::quota;
 use crate::route::Table;
 
-/// Who this daemon is.
+/// The identity of this daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Identity {
     /// The VM's name.
     pub id: String,
-    /// Chosen at random at every start.
+    /// Random number, drawn at every start.
     pub incarnation: u64,
     /// Its availability zone.
     pub zone: String,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub address: SocketAddr,
-    /// Cores that its VM gives it.
+    /// Cores of its VM.
     pub cores: f32,
 }
 
-/// Bounds that operators of the platform set.
+/// Limits set by the operators of the platform.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Attempts after the first that all daemons may make, for each request.
+    /// Retries per request that all daemons together may make.
     pub retry_ratio: f64,
-    /// The window in which they are counted.
+    /// The window in which retries are counted.
     pub retry_window: Duration,
-    /// Attempts that all daemons may make besides.
+    /// Fixed number of retries that all daemons together may make beyond the ratio.
     pub retry_slack: f64,
-    /// Time from the naming of weights after which no request begins on older ones.
+    /// Time after the naming of new weights from which no request begins on older ones.
     pub weights_limit: Duration,
-    /// Whether engines refuse an order with an old fencing number.
+    /// Whether engines refuse an order with an outdated fencing number.
     pub engines_check_fences: bool,
-    /// The times of the lease to order engines.
+    /// Durations of the lease to order engines.
     pub lease: lease::Terms,
-    /// How quotas are held against what ran.
+    /// Parameters of quota accounting.
     pub quota: quota::Terms,
 }
 
-/// Reads a record of the platform's store.
+/// Decodes a record of the platform's store.
 pub type Decode = fn(Topic, &Record) -> Result<Change, String>;
 
 /// The decision state of one daemon.
@@ -76,55 +76,55 @@
     /// Servers by pool.
     pub(super) pools: BTreeMap<String, Vec<server::Key>>,
     pub(super) requests: BTreeMap<Key, Request>,
-    /// Waiting requests in turn.
+    /// The queue of waiting requests, in the order in which they are sent.
     pub(super) waiting: BTreeSet<Turn>,
-    /// How fast what waits is sent, by pool.
+    /// Rate at which waiting requests are sent, by pool.
     pub(super) drains: BTreeMap<String, Drain>,
-    /// Refused callers that may come back.
+    /// Refused callers that may retry.
     pub(super) expected: Expected,
     pub(super) budgets: BTreeMap<String, Budget>,
     pub(super) peers: BTreeMap<String, Peer>,
     pub(super) ranking: Ranking,
-    /// Other daemons' requests that this one schedules.
+    /// Requests of other daemons that this one schedules.
     pub(super) served: Served,
-    /// Own requests on which a scheduler has yet to say something.
+    /// Own requests for which a scheduler's answer is outstanding.
     pub(super) awaiting_scheduler: BTreeSet<Key>,
-    /// Peers' work by server.
+    /// Load of peers' requests, by server.
     pub(super) peer_loads: BTreeMap<server::Key, Load>,
-    /// Whether peers told something since that was added up.
+    /// Whether peers reported load since `peer_loads` was computed.
     pub(super) peer_loads_stale: bool,
     pub(super) rollout: Rollout,
-    /// What workspaces have left of their quotas.
+    /// Remaining quotas of workspaces.
     pub(super) quota: quota::State,
     pub(super) quota_leadership: Leadership,
-    /// Requests that end servers.
+    /// Crashes, suspects and blocks.
     pub(super) poison: poison::State,
-    /// Servers that may have ended under requests.
+    /// Servers that may have crashed while they ran requests.
     pub(super) crash_watch: poison::Watch,
     pub(super) next_block_expiry: Time,
-    /// Work by shared part.
+    /// Recent work by shared part of prompts.
     pub(super) heat: Heat,
-    /// What the KV store keeps.
+    /// Contents of the KV store.
     pub(super) kv_store: Kept,
-    /// When what keeps parts is read.
+    /// Schedule of reading cache events, by engine or KV store.
     pub(super) event_reads: BTreeMap<Place, Reading>,
-    /// Its link.
+    /// The link to the KV store.
     pub(super) kv_link: Link,
     pub(super) lease: lease::State,
-    /// Topics that were read at least once, from the store or from a peer.
+    /// Topics that were read at least once, from the store or a peer.
     pub(super) known_topics: BTreeSet<Topic>,
-    /// Keys whose newest record can't be read, and why.
+    /// Keys whose newest record can't be decoded, with the reason.
     pub(super) unreadable_records: BTreeMap<(Topic, String), String>,
-    /// When the servers' topic could last not be read.
+    /// Time of the last failed read of the servers' topic.
     pub(super) servers_down_at: Option<Time>,
-    /// Since when what the store does not give can't be read.
+    /// Start of the current read failure of each tracked item.
     pub(super) unread_since: BTreeMap<Tracked, Time>,
-    /// When each topic was last read from the store.
+    /// Time of the last read of each topic from the store.
     pub(super) read_at: BTreeMap<Topic, Time>,
-    /// The earliest time for the next look at what waits, and the turn after which it goes on.
+    /// The earliest time of the next scan of the queue, and the turn after which it continues.
     pub(super) next_queue_scan: Time,
     pub(super) queue_cursor: Option<Turn>,
-    /// Notices that may be sent now.
+    /// Allowance for notices to peers.
     pub(super) notice_allowance: Allowance,
     pub(super) next_digest: Time,
     pub(super) next_heat_digest: Time,
@@ -138,7 +138,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet but where some peers may be.
+    /// Creates a node without any state except the addresses of possible peers.
     pub fn new(identity: Identity, policy: Policy, decode: Decode, seeds: &[SocketAddr]) -> Self {
         let lease = lease::State::new(identity.id.clone(), identity.incarnation, policy.lease);
         let rng = fastrand::Rng::with_seed(identity.incarnation);
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes `message` at time `now`; returns what is to be done, in order.
+    /// Handles `message` at time `now`; returns the effects to execute, in order.
     pub fn apply(&mut self, now: Time, message: Message) -> Vec<Effect> {
         match message {
             Message::Arrive(arrival) => self.arrive(now, *arrival),
@@ -215,24 +215,24 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether the platform's balancer may send callers here.
+    /// Whether the platform's load balancer may send callers to this daemon.
     pub fn is_ready(&self) -> bool {
         let known = |topic| self.known_topics.contains(&topic);
         let all = known(Topic::Operator) && known(Topic::Servers);
         all && self.table.is_some() && !self.draining
     }
 
-    /// Whether a planned stop was asked for.
+    /// Whether a planned stop was requested.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Requests that are waiting or sent.
+    /// Number of requests that are waiting or sent.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether requests wait or engines carry orders out, so that time matters soon.
+    /// Whether requests wait or engines execute orders, so that ticks must be frequent.
     pub fn needs_fast_ticks(&self) -> bool {
         !self.waiting.is_empty()
             || !self.awaiting_scheduler.is_empty()
@@ -241,12 +241,12 @@
             || self.crash_watch.is_pressed()
     }
 
-    /// The offset from which the lease is to be read next.
+    /// The offset of the next lease record to read.
     pub fn next_lease_offset(&self) -> u64 {
         self.lease.next()
     }
 
-    /// The offset of a topic before which no record is missing.
+    /// The offset of a topic up to which all records are known.
     pub fn end_offset(&self, topic: Topic) -> u64 {
         self.catalog.end(topic)
     }
@@ -260,10 +260,10 @@
         }
     }
 
-    /// Ends what has no answer yet while it can still be told so: what waits has not run, and of what
-    /// was sent nothing is known. Answers that have begun go on as long as they can.
+    /// Ends all requests without an answer while their callers can still be informed: waiting requests
+    /// did not run, and the outcome of sent ones is unknown. Answers that have begun continue.
     fn finish_stop(&mut self, now: Time) {
-        // What waits goes first, or it would be sent to the places that the others leave.
+        // Waiting requests end first: else they would be sent to the slots that sent ones free.
         let waiting = self.waiting.iter().map(|turn| turn.key);
         let at_schedulers = self.requests.iter().filter(|(_, request)| request.is_at_a_scheduler());
         let at_schedulers = at_schedulers.map(|(key, _)| *key);
@@ -272,7 +272,7 @@
         for key in waiting {
             self.refuse(now, key, Code::Draining);
         }
-        // Other daemons go on by themselves with what was sent for them.
+        // Other daemons continue on their own with requests that were sent for them.
         let unanswered = |request: &Request| request.origin.is_none() && request.is_unanswered();
         let sent = self.requests.iter().filter(|(_, request)| unanswered(request));
         let sent: Vec<Key> = sent.map(|(key, _)| *key).collect();
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! The control thread of a [`Node`], and the handle that traffic threads have to it.
+//! The control thread of a [`Node`], and the handle through which traffic threads use it.
 
 use std::sync::RwLock;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -20,23 +20,23 @@
 
 /// Time between two ticks while requests wait or engines load.
 const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two ticks while nothing is pressing.
+/// Time between two ticks otherwise.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Messages taken between two looks at the clock.
+/// Messages handled in a row before the clock is checked for a tick.
 const MAX_MESSAGES_PER_BATCH: usize = 256;
 
-/// What the control thread is sent.
+/// Input to the control thread.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// A message to the node.
     Message(Box<Message>),
-    /// A request, and where its commands go.
+    /// A new request, and the channel for its commands.
     Open(Box<Arrival>, Sender<Command>),
-    /// A question for the state, and where it goes.
+    /// A query for metrics, and the channel for the result.
     Metrics(Sender<Vec<Figure>>),
 }
 
-/// What other threads see of the node without asking it.
+/// State of the node that other threads read directly.
 #[derive(Debug, Default)]
 struct View {
     table: RwLock<Option<Arc<Table>>>,
@@ -45,22 +45,22 @@
     open_requests: AtomicUsize,
     next_request_key: AtomicU64,
     next_lease_offset: AtomicU64,
-    /// The offset before which no record is missing, by topic.
+    /// The offset up to which all records are known, by topic.
     end_offsets: [AtomicU64; Topic::ALL.len()],
-    /// How what is tracked is read, in the order of [`Tracked::ALL`].
+    /// Read schedules of the tracked items, in the order of [`Tracked::ALL`].
     read_schedules: [ReadSchedule; Tracked::ALL.len()],
 }
 
-/// How one of what is tracked is to be read.
+/// Schedule on which a tracked item is read.
 #[derive(Debug, Default)]
 struct ReadSchedule {
-    /// Whether this daemon leaves it to others.
+    /// Whether other daemons read it in place of this one.
     delegated: AtomicBool,
-    /// Milliseconds from a read that brought something to the next.
+    /// Milliseconds from a read that returned records to the next.
     interval_ms: AtomicU64,
-    /// Milliseconds that a read may wait for a record.
+    /// Milliseconds for which a read may wait for a record.
     max_wait_ms: AtomicU64,
-    /// Milliseconds from a read that failed to the next.
+    /// Milliseconds from a failed read to the next.
     retry_delay_ms: AtomicU64,
 }
 
@@ -73,16 +73,16 @@
     pub clock: Clock,
 }
 
-/// A running node, and what it wants of the platform.
+/// A running node, and its effects on the platform.
 pub struct Fleet {
     /// The handle to the node.
     pub control: Control,
-    /// Orders, questions to engines and lease records, for the edge to the platform to carry out.
+    /// Orders, queries to engines and lease records, which the platform adapter executes.
     pub effects: Receiver<Effect>,
 }
 
 impl Fleet {
-    /// Starts the control thread; frames to peers are sent on `executor`.
+    /// Starts the control thread, which sends frames to peers on `executor`.
     pub fn start(node: Node, executor: &Arc<Executor<'static>>) -> Self {
         let (control, inputs) = Control::new();
         let (platform_effects, effects) = async_channel::unbounded();
@@ -100,32 +100,32 @@
 }
 
 impl Control {
-    /// A handle, and the inputs that are sent with it.
+    /// Creates a handle and the channel of its inputs.
     pub(crate) fn new() -> (Self, Receiver<Input>) {
         let (sender, inputs) = async_channel::unbounded();
         (Self { sender, view: Arc::default(), clock: Clock::start() }, inputs)
     }
 
-    /// Sends a message; nothing comes back.
+    /// Sends a message without a reply.
     pub fn tell(&self, message: Message) {
         self.sender.try_send(Input::Message(Box::new(message))).ok();
     }
 
-    /// Hands a request over; commands for it come on the channel returned.
+    /// Opens a request; its commands arrive on the returned channel.
     pub fn open(&self, arrival: Arrival) -> Receiver<Command> {
         let (sender, receiver) = async_channel::unbounded();
         self.sender.try_send(Input::Open(Box::new(arrival), sender)).ok();
         receiver
     }
 
-    /// The state for metrics; nothing where the control thread has ended.
+    /// The node's metrics; empty if the control thread has ended.
     pub async fn metrics(&self) -> Vec<Figure> {
         let (sender, receiver) = async_channel::bounded(1);
         self.sender.try_send(Input::Metrics(sender)).ok();
         receiver.recv().await.unwrap_or_default()
     }
 
-    /// A key for a new request.
+    /// Returns a key for a new request.
     pub fn next_request_key(&self) -> Key {
         Key(self.view.next_request_key.fetch_add(1, Ordering::Relaxed))
     }
@@ -135,14 +135,14 @@
         self.view.table.read().ok()?.clone()
     }
 
-    /// Makes this the table in force.
+    /// Puts `table` in force.
     pub(crate) fn set_table(&self, table: Arc<Table>) {
         if let Ok(mut current) = self.view.table.write() {
             *current = Some(table);
         }
     }
 
-    /// Whether the platform's balancer may send callers here.
+    /// Whether the platform's load balancer may send callers to this daemon.
     pub fn is_ready(&self) -> bool {
         self.view.ready.load(Ordering::Acquire)
     }
@@ -152,37 +152,37 @@
         self.view.draining.load(Ordering::Acquire)
     }
 
-    /// Requests that are waiting or sent.
+    /// Number of requests that are waiting or sent.
     pub fn open_requests(&self) -> usize {
         self.view.open_requests.load(Ordering::Acquire)
     }
 
-    /// The offset from which the lease is to be read next.
+    /// The offset of the next lease record to read.
     pub fn next_lease_offset(&self) -> u64 {
         self.view.next_lease_offset.load(Ordering::Acquire)
     }
 
-    /// The offset of a topic before which no record is missing, whoever told of it.
+    /// The offset of a topic up to which all records are known, from the store or from peers.
     pub fn end_offset(&self, topic: Topic) -> u64 {
         self.view.end_offsets[topic as usize].load(Ordering::Acquire)
     }
 
-    /// Time from a read that brought something to the next one.
+    /// Time from a read that returned records to the next.
     pub fn read_interval(&self, tracked: Tracked) -> Duration {
         Duration::from_millis(self.read_schedule(tracked).interval_ms.load(Ordering::Acquire))
     }
 
-    /// Time that a read may wait for a record.
+    /// Time for which a read may wait for a record.
     pub fn max_read_wait(&self, tracked: Tracked) -> Duration {
         Duration::from_millis(self.read_schedule(tracked).max_wait_ms.load(Ordering::Acquire))
     }
 
-    /// Time from a read that failed to the next one.
+    /// Time from a failed read to the next.
     pub fn read_retry_delay(&self, tracked: Tracked) -> Duration {
         Duration::from_millis(self.read_schedule(tracked).retry_delay_ms.load(Ordering::Acquire))
     }
 
-    /// Whether this daemon is to read what is tracked.
+    /// Whether this daemon reads the tracked item itself.
     pub fn should_read(&self, tracked: Tracked) -> bool {
         !self.read_schedule(tracked).delegated.load(Ordering::Acquire)
     }
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as this daemon sees it.
+//! A backend server from the point of view of this daemon.
 
 use std::net::SocketAddr;
 
@@ -7,51 +7,51 @@
 use crate::prelude::*;
 
 slotmap::new_key_type! {
-    /// A server in a node's table.
+    /// Key of a server in a node.
     pub struct Key;
 }
 
-/// How long a server that failed is passed over, at first.
+/// Time for which a server gets no requests after its first failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(200);
-/// How long it is passed over at most.
+/// Maximum time for which a server gets no requests after repeated failures.
 const BACKOFF_MAX: Duration = Duration::from_secs(4);
 
-/// Time in which an engine answers an order: some ten times the way to another zone and back.
+/// Time within which an engine answers an order: about ten round trips to another zone.
 const ORDER_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A server's registration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Which server, and since when.
+    /// The server's id and start.
     pub incarnation: Incarnation,
     /// The pool that it belongs to.
     pub pool: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is about to stop by plan.
     pub draining: bool,
     /// Versions of its weights by model; none for a plain server.
     pub weights: BTreeMap<String, u64>,
-    /// How many orders it has taken since its start, as far as is known.
+    /// Known number of orders that it has accepted since its start.
     pub sequence: u64,
 }
 
-/// An order that an engine was given.
+/// An order to an engine to load weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The model.
     pub model: String,
     /// The version.
     pub version: u64,
-    /// When it was given.
+    /// When it was sent.
     pub sent_at: Time,
-    /// Whether the engine said that it carries it out.
+    /// Whether the engine accepted it.
     pub accepted: bool,
-    /// When it is asked for its state next.
+    /// When the engine's state is polled next.
     pub poll_at: Time,
 }
 
@@ -60,26 +60,26 @@
 pub struct Server {
     /// Its registration.
     pub entry: Entry,
-    /// Requests of this daemon at it.
+    /// Number of this daemon's requests that run there.
     pub running: u32,
-    /// Prompt tokens of those whose answers have not begun.
+    /// Prompt tokens of the running requests whose answers have not begun.
     pub pending_tokens: u32,
-    /// When this daemon last had an answer from it.
+    /// When this daemon last received an answer from it.
     pub last_answer_at: Option<Time>,
-    /// When the oldest request of this daemon was sent whose answer has not begun.
+    /// Send time of this daemon's oldest request whose answer has not begun.
     pub unanswered_since: Option<Time>,
-    /// The order that it carries out.
+    /// The order that it is executing.
     pub order: Option<Order>,
-    /// When its registration was last seen to be gone while that may have been the store's doing.
+    /// When its registration was last missing during or after an outage of the store.
     pub unconfirmed_removal_at: Option<Time>,
-    /// The parts of prompts that it keeps.
+    /// The parts of prompts in its cache.
     pub(super) residency: Held,
     failures: u32,
     backoff_until: Time,
 }
 
 impl Server {
-    /// A server that has just registered.
+    /// Creates a newly registered server.
     pub fn new(entry: Entry) -> Self {
         Self {
             entry,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes over a changed registration.
+    /// Applies a changed registration.
     pub fn update(&mut self, entry: Entry) {
         self.unconfirmed_removal_at = None;
         let leaving = self.entry.draining || entry.draining;
@@ -107,7 +107,7 @@
         self.entry = Entry { draining: leaving, weights, sequence, ..entry };
     }
 
-    /// Notes that the server has this version, which drops what it had cached.
+    /// Records that the server has loaded this version. Loading a newer version clears its cache.
     pub fn weights_loaded(&mut self, model: &str, version: u64) {
         let known = self.entry.weights.entry(model.to_owned()).or_insert(version);
         if *known < version {
@@ -119,53 +119,53 @@
         }
     }
 
-    /// For how long it has been carrying out an order to load this version, where it has such an order.
+    /// Time since it was ordered to load this version, if it is executing such an order.
     pub fn loading_time(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
         let ordered = self.order.as_ref()?;
         let this = ordered.accepted && ordered.model == model && ordered.version == version;
         this.then(|| now.saturating_sub(ordered.sent_at))
     }
 
-    /// The version of `model` that it has.
+    /// The loaded version of `model`.
     pub fn weights_version(&self, model: &str) -> Option<u64> {
         self.entry.weights.get(model).copied()
     }
 
-    /// Whether it may be given new work.
+    /// Whether it may get new requests.
     pub fn is_usable(&self, now: Time) -> bool {
         !self.entry.draining && !self.is_loading(now) && self.backoff_until <= now
     }
 
-    /// Whether it carries an order out, or will as far as is known. One that does not answer an order
-    /// serves on; if it has taken the order after all, it declines what it is sent.
+    /// Whether it executes an order, or may have just received one. A server that does not answer an
+    /// order stays in use; if it has accepted the order after all, it declines requests.
     pub fn is_loading(&self, now: Time) -> bool {
         let loads = |order: &Order| order.accepted || now < order.sent_at + ORDER_ANSWER_TIMEOUT;
         self.order.as_ref().is_some_and(loads)
     }
 
-    /// Whether it failed lately.
+    /// Whether it gets no requests because of a recent failure or refusal.
     pub fn is_backing_off(&self, now: Time) -> bool {
         self.backoff_until > now
     }
 
-    /// Failures since its last good answer.
+    /// Consecutive failures since its last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Passes it over for a while, longer each time in a row.
+    /// Records a failure: the server gets no requests for a time that doubles with each one in a row.
     pub fn record_failure(&mut self, now: Time) {
         let wait = BACKOFF_BASE.saturating_mul(1 << self.failures.min(8)).min(BACKOFF_MAX);
         self.failures += 1;
         self.backoff_until = self.backoff_until.max(now + wait);
     }
 
-    /// Passes it over briefly, without holding it against it.
+    /// Records a refusal: the server gets no requests for a short time, but this is no failure.
     pub fn refused(&mut self, now: Time) {
         self.backoff_until = self.backoff_until.max(now + BACKOFF_BASE);
     }
 
-    /// Notes a good answer.
+    /// Records a success, which ends any backoff.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff_until = Time::ZERO;
