--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -197,7 +197,7 @@
             sent: now,
             named: self.rollout.seen_named.told(now, self.policy.weights_limit),
             missed_nothing_for: self.rollout.missed_nothing_at.map(|at| now.saturating_sub(at)),
-            keeper: self.quota_leadership.name().to_owned(),
+            keeper: self.quota_leadership.keeper_id().to_owned(),
             used: self.quota.used(now),
         }
     }
--- a/src/fleet/incarnation.rs
+++ b/src/fleet/life.rs
@@ -24,8 +24,8 @@
     /// use cardamomvalve::fleet::Incarnation;
     /// assert!(Incarnation::new("i-1", 5) < Incarnation::new("i-1", 6));
     /// ```
-    pub fn new(id: impl Into<String>, born: u64) -> Self {
-        Self { id: id.into(), started_ms: born }
+    pub fn new(id: impl Into<String>, started_ms: u64) -> Self {
+        Self { id: id.into(), started_ms }
     }
 }
 
@@ -44,7 +44,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Newest {
-    born: u64,
+    started_ms: u64,
     /// The server, while it is registered.
     server: Option<server::Key>,
 }
@@ -57,12 +57,14 @@
 
 impl Incarnations {
     /// What is known of `life`.
-    pub(super) fn find(&self, life: &Incarnation) -> Known {
-        match self.newest.get(&life.id) {
+    pub(super) fn find(&self, incarnation: &Incarnation) -> Known {
+        match self.newest.get(&incarnation.id) {
             None => Known::New,
-            Some(newest) if life.started_ms < newest.born => Known::Ended,
+            Some(newest) if incarnation.started_ms < newest.started_ms => Known::Ended,
             Some(Newest { server: None, .. }) => Known::New,
-            Some(Newest { born, server: Some(key) }) if life.started_ms == *born => {
+            Some(Newest { started_ms, server: Some(key) })
+                if incarnation.started_ms == *started_ms =>
+            {
                 Known::Same(*key)
             }
             Some(Newest { server: Some(key), .. }) => Known::Next(*key),
@@ -70,8 +72,8 @@
     }
 
     /// The server of exactly this life.
-    pub(super) fn server(&self, life: &Incarnation) -> Option<server::Key> {
-        match self.find(life) {
+    pub(super) fn server(&self, incarnation: &Incarnation) -> Option<server::Key> {
+        match self.find(incarnation) {
             Known::Same(key) => Some(key),
             Known::New | Known::Next(_) | Known::Ended => None,
         }
@@ -82,25 +84,25 @@
         self.newest.get(id)?.server
     }
 
-    pub(super) fn begin(&mut self, life: &Incarnation, server: server::Key) {
-        let newest = Newest { born: life.started_ms, server: Some(server) };
-        self.newest.insert(life.id.clone(), newest);
+    pub(super) fn begin(&mut self, incarnation: &Incarnation, server: server::Key) {
+        let newest = Newest { started_ms: incarnation.started_ms, server: Some(server) };
+        self.newest.insert(incarnation.id.clone(), newest);
     }
 
     /// Notes that `life` is no longer registered.
-    pub(super) fn end(&mut self, life: &Incarnation) {
-        if let Some(newest) = self.newest.get_mut(&life.id)
-            && newest.born == life.started_ms
+    pub(super) fn end(&mut self, incarnation: &Incarnation) {
+        if let Some(newest) = self.newest.get_mut(&incarnation.id)
+            && newest.started_ms == incarnation.started_ms
         {
             newest.server = None;
         }
-        self.trim();
+        self.remove_oldest();
     }
 
-    fn trim(&mut self) {
+    fn remove_oldest(&mut self) {
         let ended = self.newest.iter().filter(|(_, newest)| newest.server.is_none());
         let mut ended: Vec<(u64, String)> =
-            ended.map(|(id, newest)| (newest.born, id.clone())).collect();
+            ended.map(|(id, newest)| (newest.started_ms, id.clone())).collect();
         if ended.len() <= MAX_ENDED {
             return;
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod frame;
 mod gossip;
 mod homes;
-mod incarnation;
+mod life;
 mod load;
 mod loading;
 mod message;
@@ -42,7 +42,7 @@
 pub use catalog::{Batch, Catalog, Record, Topic};
 pub use figures::Counts;
 pub use frame::{Busy, Digest, Frame, Malformed};
-pub use incarnation::Incarnation;
+pub use life::Incarnation;
 pub use message::{
     Arrival, Change, Command, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read, Refused,
     Report, State, Tracked,
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -6,7 +6,7 @@
 
 use super::admission::{Expected, Turn};
 use super::drain::Drain;
-use super::incarnation::Incarnations;
+use super::life::Incarnations;
 use super::load::Load;
 use super::notice::Allowance;
 use super::peer::Peer;
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -115,8 +115,8 @@
     }
 
     fn record_crashes(&mut self, now: Time, strikes: Vec<Strike>) {
-        let struck = |strike: &Strike| self.poison.strike(now, *strike);
-        let blocked: Vec<Strike> = strikes.into_iter().filter(struck).collect();
+        let is_blocked = |strike: &Strike| self.poison.strike(now, *strike);
+        let blocked: Vec<Strike> = strikes.into_iter().filter(is_blocked).collect();
         self.announce_blocks(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
     }
 
@@ -136,9 +136,9 @@
 
     /// Takes over what peers say is blocked.
     pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
-        for told in blocked {
-            if self.poison.hear(now, *told) {
-                self.enforce_block(now, told.fingerprint);
+        for block in blocked {
+            if self.poison.hear(now, *block) {
+                self.enforce_block(now, block.fingerprint);
             }
         }
     }
@@ -215,8 +215,8 @@
             self.effects.push(Effect::Probe(victim, address));
         }
         if self.is_scheduler(now) {
-            let turn = BLOCK_WRITE_STAGGER * self.rank_among_daemons();
-            let due = self.poison.to_write(now.saturating_sub(turn), BLOCK_REWRITE_INTERVAL);
+            let delay = BLOCK_WRITE_STAGGER * self.rank_among_daemons();
+            let due = self.poison.to_write(now.saturating_sub(delay), BLOCK_REWRITE_INTERVAL);
             let due =
                 due.into_iter().map(|block| Effect::WriteBlock(block.fingerprint, Some(block.age)));
             self.effects.extend(due);
@@ -225,18 +225,18 @@
             return;
         }
         self.next_block_expiry = now + EXPIRY_INTERVAL;
-        for lapsed in self.poison.expire(now) {
-            self.event(Event::BlockEnded, Detail::of("fingerprint", lapsed.to_string()));
+        for expired in self.poison.expire(now) {
+            self.event(Event::BlockEnded, Detail::of("fingerprint", expired.to_string()));
             if self.is_scheduler(now) {
-                self.effects.push(Effect::WriteBlock(lapsed, None));
+                self.effects.push(Effect::WriteBlock(expired, None));
             }
         }
     }
 
     /// Takes over that the platform's store keeps a block.
-    pub(super) fn block_stored(&mut self, now: Time, told: Blocked) {
-        if self.poison.kept(now, told) {
-            self.enforce_block(now, told.fingerprint);
+    pub(super) fn block_stored(&mut self, now: Time, block: Blocked) {
+        if self.poison.kept(now, block) {
+            self.enforce_block(now, block.fingerprint);
         }
     }
 
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -28,7 +28,7 @@
 
 impl Leadership {
     /// The keeper's id.
-    pub(super) fn name(&self) -> &str {
+    pub(super) fn keeper_id(&self) -> &str {
         &self.keeper
     }
 }
@@ -41,9 +41,9 @@
 
     /// Whether neither of its last two digests is overdue.
     fn has_fresh_digest(&self, now: Time) -> bool {
-        let lasts = |digest: &Digest| digest.interval * 2 + LENDING_GRACE;
-        let lasts = self.digest.as_ref().map(lasts);
-        self.heard.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
+        let timeout = |digest: &Digest| digest.interval * 2 + LENDING_GRACE;
+        let timeout = self.digest.as_ref().map(timeout);
+        self.heard.zip(timeout).is_some_and(|(heard, timeout)| now < heard + timeout)
     }
 }
 
@@ -61,8 +61,8 @@
             self.next_digest = self.next_digest.min(now + INTERVAL / 5);
         }
         let role = self.quota_role(now);
-        let keeps = matches!(role, Role::Keeper { .. });
-        self.quota_leadership.since = keeps.then(|| self.quota_leadership.since.unwrap_or(now));
+        let is_keeper = matches!(role, Role::Keeper { .. });
+        self.quota_leadership.since = is_keeper.then(|| self.quota_leadership.since.unwrap_or(now));
         self.quota.set_role(now, role);
         self.retry_undecided(now);
     }
@@ -88,12 +88,12 @@
             return false;
         }
         let until = now + Self::longest_wait(request);
-        let waits = now < *request.undecided_until.get_or_insert(until);
-        if waits {
+        let may_wait = now < *request.undecided_until.get_or_insert(until);
+        if may_wait {
             request.phase = Phase::Waiting(now);
             self.quota_leadership.undecided.insert(key);
         }
-        waits
+        may_wait
     }
 
     /// The daemon that schedules for the engines, through which most tokens pass.
@@ -131,10 +131,10 @@
     /// other side of a cut they are not most.
     fn lending_daemons(&self, now: Time) -> usize {
         let daemons = self.daemons();
-        let gone = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + PEER_SILENCE_MAX;
-        let gone = self.peers.values().filter(gone).count();
-        let rest = daemons.saturating_sub(gone).max(1);
-        if rest * 2 > daemons { rest } else { daemons }
+        let is_silent = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + PEER_SILENCE_MAX;
+        let silent = self.peers.values().filter(is_silent).count();
+        let heard = daemons.saturating_sub(silent).max(1);
+        if heard * 2 > daemons { heard } else { daemons }
     }
 
     /// What a request's workspace may have run: by the table in force, or as the daemon that has it was told.
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,6 +1,6 @@
 //! Records of the platform's store, and what they change.
 
-use super::incarnation::Known;
+use super::life::Known;
 use super::request::{Phase, Request};
 use super::{
     Batch, Change, Effect, Entry, Key, Node, Place, Read, Record, Server, Topic, Tracked, server,
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -1,7 +1,7 @@
 //! Bringing engines to the weights that operators named: who orders, which engine next, and how
 //! many at once.
 
-use super::incarnation::Known;
+use super::life::Known;
 use super::loading::Loading;
 use super::naming::{Bound, Namings};
 use super::server::Order;
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -252,13 +252,13 @@
                 return;
             }
         };
-        let left = match message {
+        let closed = match message {
             Message::Leave(key) => Some(key),
             _ => None,
         };
         let effects = self.node.apply(now, message);
         self.execute(effects);
-        if let Some(key) = left {
+        if let Some(key) = closed {
             self.open_requests.remove(&key);
         }
     }
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -109,9 +109,9 @@
 
     /// Records that the server has loaded this version. Loading a newer version clears its cache.
     pub fn weights_loaded(&mut self, model: &str, version: u64) {
-        let known = self.entry.weights.entry(model.to_owned()).or_insert(version);
-        if *known < version {
-            *known = version;
+        let loaded = self.entry.weights.entry(model.to_owned()).or_insert(version);
+        if *loaded < version {
+            *loaded = version;
             self.residency.forget_sent();
         }
         if self.order.as_ref().is_some_and(|o| o.model == model && o.version <= version) {
@@ -121,9 +121,9 @@
 
     /// Time since it was ordered to load this version, if it is executing such an order.
     pub fn loading_time(&self, now: Time, model: &str, version: u64) -> Option<Duration> {
-        let ordered = self.order.as_ref()?;
-        let this = ordered.accepted && ordered.model == model && ordered.version == version;
-        this.then(|| now.saturating_sub(ordered.sent_at))
+        let order = self.order.as_ref()?;
+        let is_match = order.accepted && order.model == model && order.version == version;
+        is_match.then(|| now.saturating_sub(order.sent_at))
     }
 
     /// The loaded version of `model`.
@@ -139,8 +139,9 @@
     /// Whether it executes an order, or may have just received one. A server that does not answer an
     /// order stays in use; if it has accepted the order after all, it declines requests.
     pub fn is_loading(&self, now: Time) -> bool {
-        let loads = |order: &Order| order.accepted || now < order.sent_at + ORDER_ANSWER_TIMEOUT;
-        self.order.as_ref().is_some_and(loads)
+        let is_pending =
+            |order: &Order| order.accepted || now < order.sent_at + ORDER_ANSWER_TIMEOUT;
+        self.order.as_ref().is_some_and(is_pending)
     }
 
     /// Whether it gets no requests because of a recent failure or refusal.
