--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -1,5 +1,4 @@
-//! What is logged and counted of the decisions on a request: the inputs that led to each, how old they
-//! are, and the outcome.
+//! Log events for the decisions on a request: the inputs of each decision, their age, and the outcome.
 
 use super::place::Choice;
 use super::request::{Phase, Request};
@@ -7,30 +6,30 @@
 use crate::prelude::*;
 
 impl Loss {
-    /// Why an attempt failed, for its log line.
+    /// The reason of a failed attempt, for its log line.
     pub(super) const fn reason(self) -> &'static str {
         match self {
-            Self::Connection => "no whole answer came: its connection ended",
-            Self::Answer => "no whole answer came: what came is none",
+            Self::Connection => "the connection ended before the answer was complete",
+            Self::Answer => "the response is no valid answer",
         }
     }
 }
 
 impl Node {
-    /// The request and its route, with which every line on a request begins.
+    /// Starts the detail of each event on a request: the request and its route.
     fn request_detail(request: &Request) -> Detail {
         Detail::of("request", request.arrival.id.as_str())
             .and("route", request.arrival.route.name.as_str())
     }
 
-    /// The same, with the request's newest attempt and the server that it went to.
+    /// Starts the detail of an event on the request's newest attempt, with its server.
     fn attempt_detail(&self, request: &Request, server: server::Key) -> Detail {
         let id = self.servers.get(server).map_or("", |server| server.entry.incarnation.id.as_str());
         Self::request_detail(request).and("attempt", request.sends).and("server", id)
     }
 
-    /// How old what this daemon goes by is: the configuration's version, and for how long the store
-    /// has not told of servers.
+    /// Adds the version of the configuration, and the time for which servers could not be read from
+    /// the store.
     fn with_data_ages(&self, now: Time, detail: Detail) -> Detail {
         let table = self.table.as_ref().map_or(0, |table| table.version());
         let unread = self.unread_since.get(&Tracked::Topic(Topic::Servers));
@@ -66,7 +65,7 @@
         self.event(Event::AttemptSent, detail);
     }
 
-    /// Logs where a request goes that a scheduler placed.
+    /// Logs the placement of a request by a scheduler.
     pub(super) fn log_assigned(&mut self, now: Time, key: Key, dispatch: &Dispatch) {
         let Some(request) = self.requests.get(&key) else { return };
         let detail = Self::request_detail(request)
@@ -80,18 +79,18 @@
         self.event(Event::AttemptSent, detail);
     }
 
-    /// For how long newer weights than those that a request is sent to have been named, as this daemon
-    /// believes.
+    /// Time since newer weights than those chosen for the request were named, as far as this daemon
+    /// knows.
     fn overtaken(&self, now: Time, request: &Request, weights: Option<u64>) -> Option<Duration> {
         let prompt = request.arrival.prompt.as_ref()?;
         self.overtaken_for(now, &prompt.model, weights?)
     }
 
-    /// Logs that the answer to a request began that was sent at time `at`.
+    /// Logs the begin of the answer to a request that was sent at time `at`.
     pub(super) fn log_begun(&mut self, now: Time, key: Key, at: Time) {
         let Some(request) = self.requests.get(&key) else { return };
         if request.origin.is_some() {
-            // The daemon that has it says so.
+            // The daemon that received the request logs this.
             return;
         }
         let waited = now.saturating_sub(at);
@@ -132,7 +131,7 @@
         self.event(Event::RequestRefused, detail);
     }
 
-    /// Logs an attempt that failed, and what its request does next.
+    /// Logs a failed attempt, and whether its request may be repeated.
     pub(super) fn log_failed(&mut self, key: Key, server: server::Key, reason: &str) {
         let Some(request) = self.requests.get(&key) else { return };
         let detail = self
@@ -147,16 +146,16 @@
     pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refused) {
         let Some(request) = self.requests.get(&key) else { return };
         let (reason, weights) = match refused {
-            Refused::Busy => ("it has no room, or is leaving or loading", None),
-            Refused::Gone => ("another server has its address", None),
-            Refused::Weights(version) => ("its weights are of another version", version),
+            Refused::Busy => ("the server is full, draining or loading weights", None),
+            Refused::Gone => ("another server has the address", None),
+            Refused::Weights(version) => ("the server has weights of another version", version),
         };
         let detail =
             self.attempt_detail(request, server).and("reason", reason).and_some("weights", weights);
         self.event(Event::AttemptRefused, detail);
     }
 
-    /// Logs that a request that had been sent is taken back; `event` tells why.
+    /// Logs the withdrawal of a sent request; `event` gives the reason.
     pub(super) fn log_withdrawn(&mut self, event: Event, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, at, .. } = request.phase else { return };
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -1,32 +1,32 @@
-//! What metrics show of a node: its beliefs and their ages, its servers, its queue and its budgets.
+//! Metrics of a node: its view of the platform and the age of that, servers, queue and budgets.
 
 use super::{Node, Tracked};
 use crate::prelude::*;
 use crate::quota::Role;
 use crate::telemetry::metrics::Figure;
 
-/// What became of the attempts of this daemon since its start.
+/// Counts of this daemon's attempts by outcome, and of other events, since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Attempts that were sent.
     pub sent: u64,
-    /// Those that the server refused without running them.
+    /// Attempts that the server refused without running them.
     pub declined: u64,
-    /// Those that never left.
+    /// Attempts of which nothing was sent.
     pub unsent: u64,
-    /// Those that no whole answer came to.
+    /// Attempts without a complete answer.
     pub lost: u64,
-    /// Those that the server answered with a failure of its own.
+    /// Attempts that the server answered with an error of its own.
     pub failed: u64,
-    /// Those that were taken from silent servers.
+    /// Attempts that were withdrawn from silent servers.
     pub moved: u64,
-    /// Those that were taken back before weights that were too old.
+    /// Attempts that were recalled because of outdated weights.
     pub recalled: u64,
     /// Requests that were submitted to a scheduler.
     pub submitted: u64,
-    /// Those that this daemon went on with by itself.
+    /// Submitted requests that this daemon then placed itself.
     pub unscheduled: u64,
-    /// Records of the platform's store that could not be read.
+    /// Records of the platform's store that could not be decoded.
     pub unreadable: u64,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Node {
-    /// The state for metrics.
+    /// Returns the metrics of the node.
     pub fn metrics(&mut self, now: Time) -> Vec<Figure> {
         let mut figures = vec![
             Figure::new("ready", u64::from(self.is_ready())),
@@ -83,7 +83,7 @@
         figures
     }
 
-    /// What this daemon may let in of the quotas that were used lately.
+    /// Adds the keeper's share, and the remaining quota of recently active workspaces.
     fn add_quotas(&self, figures: &mut Vec<Figure>) {
         let lent = match self.quota.role() {
             Role::Keeper { lent, .. } => lent,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// For how long the store has not told of each topic, and how old each peer's word is.
+    /// Adds the time since which each topic can't be read, and the age of each peer's last digest.
     fn add_ages(&self, now: Time, figures: &mut Vec<Figure>) {
         for tracked in Tracked::ALL {
             let unread = self.unread_since.get(&tracked);
--- a/src/fleet/life.rs
+++ b/src/fleet/life.rs
@@ -1,24 +1,24 @@
-//! One life of a server: from a start to its end. A server may start again under the id that it had;
-//! it then knows nothing of before, so whatever is believed of a server is believed of one life.
+//! Incarnations of servers: the time from a start of a server to its end. A server may restart under the
+//! same id with all state lost, so all knowledge of a server belongs to one incarnation.
 
 use super::server;
 use crate::prelude::*;
 
-/// Ids of servers that are gone whose last life is remembered, so that what still comes from it late
-/// brings no server back.
+/// Maximum number of removed servers whose last incarnation is remembered, so that late messages about
+/// it don't register it again.
 const MAX_ENDED: usize = 4_096;
 
-/// One life of a server.
+/// One incarnation of a server.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation {
     /// The server's id.
     pub id: String,
-    /// When it started, in Unix milliseconds by its own clock; 0 where it does not say.
+    /// Start time in Unix milliseconds by the server's clock; 0 if the server does not report it.
     pub started_ms: u64,
 }
 
 impl Incarnation {
-    /// The life of server `id` that began at `born`.
+    /// Creates the incarnation of server `id` that started at `started_ms`.
     ///
     /// ```
     /// use cardamomvalve::fleet::Incarnation;
@@ -29,16 +29,16 @@
     }
 }
 
-/// What a life is to those that are known.
+/// Relation of an incarnation to the newest known one of the same server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Known {
-    /// Nothing is known of a server with its id.
+    /// No server with its id is registered, and none that started later is known.
     New,
-    /// It is the one that is known.
+    /// It is the registered one.
     Same(server::Key),
-    /// It follows the one that is known.
+    /// It started after the registered one.
     Next(server::Key),
-    /// It had ended before the newest that was seen.
+    /// It started before the newest known one, and so has ended.
     Ended,
 }
 
@@ -49,14 +49,14 @@
     server: Option<server::Key>,
 }
 
-/// The newest life of each server.
+/// The newest incarnation of each server.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     newest: BTreeMap<String, Newest>,
 }
 
 impl Incarnations {
-    /// What is known of `life`.
+    /// Compares `incarnation` with the newest known one of its server.
     pub(super) fn find(&self, incarnation: &Incarnation) -> Known {
         match self.newest.get(&incarnation.id) {
             None => Known::New,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The server of exactly this life.
+    /// The server, if `incarnation` is the registered one.
     pub(super) fn server(&self, incarnation: &Incarnation) -> Option<server::Key> {
         match self.find(incarnation) {
             Known::Same(key) => Some(key),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The server of this id, in whichever life it is.
+    /// The registered server with this id, whatever its incarnation.
     pub(super) fn registered(&self, id: &str) -> Option<server::Key> {
         self.newest.get(id)?.server
     }
@@ -89,7 +89,7 @@
         self.newest.insert(incarnation.id.clone(), newest);
     }
 
-    /// Notes that `life` is no longer registered.
+    /// Records that `incarnation` is no longer registered.
     pub(super) fn end(&mut self, incarnation: &Incarnation) {
         if let Some(newest) = self.newest.get_mut(&incarnation.id)
             && newest.started_ms == incarnation.started_ms
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -1,5 +1,5 @@
-//! Requests that end servers: ends are noticed where requests are placed, counted by the schedulers, and what
-//! is blocked for it is refused by every daemon.
+//! Requests that crash servers: the daemon that placed the requests detects a crash, schedulers count crashes,
+//! and every daemon refuses blocked requests.
 
 use std::net::SocketAddr;
 
@@ -12,17 +12,17 @@
 };
 use crate::prelude::*;
 
-/// Time from a write of a block to the platform's store to the next, where it is not seen there.
+/// Time between two writes of a block to the platform's store until the block is read there.
 const BLOCK_REWRITE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time by which each scheduler waits longer than the one before it until it writes a block.
+/// Additional delay per rank before a scheduler writes a block, so that usually only the first writes it.
 const BLOCK_WRITE_STAGGER: Duration = Duration::from_millis(700);
-/// Peers that are told of ends where no scheduler is heard of.
+/// Maximum number of peers that get crash reports if no scheduler is known.
 const MAX_REPORT_PEERS: usize = 8;
-/// Time between two looks for what is too old.
+/// Time between two removals of expired state.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Server {
-    /// Its present life, as all daemons name it.
+    /// Its current incarnation under the id that all daemons use for crashes.
     fn victim(&self) -> Victim {
         let life = &self.entry.incarnation;
         Victim::of(&life.id, Some(&life.started_ms.to_string()))
@@ -30,7 +30,7 @@
 }
 
 impl Node {
-    /// Takes over that the connection broke on which a request ran. A server that leaves ends by plan.
+    /// Handles the loss of a request's connection. A draining server ends by plan, and the loss is ignored.
     pub(super) fn connection_lost(&mut self, now: Time, key: Key, server: server::Key, ran: Time) {
         let Some(fingerprint) = self.fingerprint(key) else { return };
         let Some(server) = self.servers.get(server) else { return };
@@ -48,13 +48,13 @@
         self.apply_steps(now, steps);
     }
 
-    /// Takes over what a look at a server's port found.
+    /// Handles the result of a probe of a server's port.
     pub(super) fn probed(&mut self, now: Time, victim: Victim, answer: Answer) {
         let steps = self.crash_watch.answered(now, victim, answer);
         self.apply_steps(now, steps);
     }
 
-    /// Takes over that a server's registration is gone, or that it has started again.
+    /// Handles the removal of a server's registration, or a restart of the server.
     pub(super) fn registration_ended(&mut self, now: Time, server: &Server) {
         if !server.entry.draining {
             let steps = self.crash_watch.ended(now, server.victim());
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes over that a server answered.
+    /// Handles any answer of a server, as a sign that it runs.
     pub(super) fn server_answered(&mut self, now: Time, server: server::Key) {
         if let Some(server) = self.servers.get(server).filter(|_| !self.crash_watch.is_idle()) {
             self.crash_watch.heard(now, server.victim());
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes over a peer's word.
+    /// Handles a peer's message on crashes and blocks.
     pub(super) fn receive_poison_message(&mut self, now: Time, message: Message) {
         match message {
             Message::Strikes(strikes) => self.record_crashes(now, strikes),
@@ -120,7 +120,7 @@
         self.announce_blocks(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
     }
 
-    /// Tells all peers what is blocked from now on, and refuses it.
+    /// Sends new blocks to all peers and enforces them.
     fn announce_blocks(&mut self, now: Time, blocked: Vec<Fingerprint>) {
         if blocked.is_empty() {
             return;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Takes over what peers say is blocked.
+    /// Adopts blocks from peers.
     pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
         for block in blocked {
             if self.poison.hear(now, *block) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Ends the requests that have just been blocked, but for those whose answer has begun.
+    /// Ends the open requests that a new block matches, except those whose answer has begun.
     fn enforce_block(&mut self, now: Time, fingerprint: Fingerprint) {
         let detail = self.poison.detail(now, fingerprint);
         self.event(Event::RequestBlocked, detail);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Refuses a request that is blocked, or gives it up where it may have run.
+    /// Refuses a blocked request, or gives it up if it may have run.
     pub(super) fn refuse_blocked(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let after = self.poison.left(now, request.arrival.fingerprint);
@@ -174,7 +174,7 @@
         self.fingerprint(key).is_some_and(|fingerprint| self.poison.is_blocked(fingerprint))
     }
 
-    /// Whether a request that has just been lost may be what ends servers, with what is not yet sure.
+    /// Whether a request that was just lost may be the cause of crashes, including unconfirmed ones.
     pub(super) fn may_crash_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
         self.poison.is_suspect(fingerprint, self.crash_watch.doubted(now, fingerprint))
@@ -184,7 +184,7 @@
         Some(self.requests.get(&key)?.arrival.fingerprint)
     }
 
-    /// Takes over that a request was answered.
+    /// Handles the answer to a request, which clears it of suspicion.
     pub(super) fn request_answered(&mut self, now: Time, key: Key) {
         let Some(fingerprint) = self.fingerprint(key) else { return };
         if let Some(blocked) = self.poison.served(now, fingerprint) {
@@ -194,14 +194,14 @@
         }
     }
 
-    /// Whether a request waits for what a copy of it that runs shows.
+    /// Whether a request waits for the outcome of a running copy of it.
     pub(super) fn waits_for_running_copy(&self, request: &Request) -> bool {
         let fingerprint = request.arrival.fingerprint;
         self.poison.runs_one_at_a_time(fingerprint)
             && self.running_requests().any(|(other, _)| other == fingerprint)
     }
 
-    /// What runs, and where.
+    /// Fingerprints of the running requests, with their servers.
     pub(super) fn running_requests(&self) -> impl Iterator<Item = (Fingerprint, server::Key)> {
         self.requests.values().filter_map(|request| match request.phase {
             Phase::Sent { server, .. } => Some((request.arrival.fingerprint, server)),
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Looks at servers in doubt, has blocks written, and forgets what is too old.
+    /// Probes servers that may have crashed, writes blocks to the store, and removes expired state.
     pub(super) fn maintain_blocks(&mut self, now: Time) {
         for Probe { victim, address } in self.crash_watch.due(now) {
             self.effects.push(Effect::Probe(victim, address));
@@ -233,21 +233,21 @@
         }
     }
 
-    /// Takes over that the platform's store keeps a block.
+    /// Handles a block that was read from the platform's store.
     pub(super) fn block_stored(&mut self, now: Time, block: Blocked) {
         if self.poison.kept(now, block) {
             self.enforce_block(now, block.fingerprint);
         }
     }
 
-    /// Takes over that a block is gone from the platform's store.
+    /// Handles the removal of a block from the platform's store.
     pub(super) fn block_removed(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.poison.lift(now, fingerprint) {
             self.event(Event::BlockEnded, Detail::of("fingerprint", fingerprint.to_string()));
         }
     }
 
-    /// Gives daemons that have come to schedule what is known of ends so far.
+    /// Sends the known crashes to daemons that have become schedulers.
     pub(super) fn send_known_crashes(&mut self, now: Time, newcomers: Vec<SocketAddr>) {
         let strikes = self.poison.strikes(now);
         if !strikes.is_empty() {
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of workspaces: who keeps them, what is let in, and what daemons tell each other of their use.
+//! Quotas of workspaces: choice of the keeper, admission, and exchange of usage between daemons.
 
 use super::peer::{INTERVAL, Peer};
 use super::request::{Phase, Request};
@@ -6,23 +6,24 @@
 use crate::prelude::*;
 use crate::quota::{Ask, Over, Quota, Role};
 
-/// Time beyond two digests after which a daemon no longer lends its share: by then it may lend it to another.
+/// Time beyond two digest intervals after which a daemon's share no longer counts as lent: by then the daemon
+/// may lend it to another keeper.
 const LENDING_GRACE: Duration = Duration::from_millis(100);
-/// Time in which a keeper notices that others have gone to another.
+/// Time within which a keeper notices that daemons lend their shares to another.
 const KEEPER_TAKEOVER: Duration = Duration::from_millis(1_100);
-/// Silence of a daemon after which it has no share where most are heard of: longer than cuts and restarts.
+/// Silence after which a daemon has no share if most daemons are heard: longer than partitions and restarts.
 const PEER_SILENCE_MAX: Duration = Duration::from_secs(10);
 
-/// Who keeps the quotas, as this daemon sees it.
+/// Which daemon is the quota keeper, as this daemon sees it.
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
-    /// The keeper's id; empty where none is known.
+    /// The keeper's id; empty if none is known.
     keeper: String,
-    /// Since when this daemon has been the keeper, where it is.
+    /// When this daemon became the keeper, if it is.
     since: Option<Time>,
-    /// Until when it counts only a part of what it is lent.
+    /// End of the takeover, during which the keeper counts only a part of the shares lent to it.
     taking_over_until: Time,
-    /// Requests that wait for a daemon that may let them in.
+    /// Requests that wait for a daemon that may admit them.
     pub(super) undecided: BTreeSet<Key>,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl Peer {
-    /// Whether it lends its share to the daemon `id`.
+    /// Whether this peer lends its share to the daemon `id`.
     fn lends_to(&self, now: Time, id: &str) -> bool {
         self.has_fresh_digest(now) && self.digest.as_ref().is_some_and(|digest| digest.keeper == id)
     }
@@ -48,13 +49,13 @@
 }
 
 impl Node {
-    /// Looks at who keeps the quotas and what this daemon may let in.
+    /// Updates the keeper and this daemon's role, and retries undecided requests.
     pub(super) fn update_quota_role(&mut self, now: Time) {
         let keeper = self.quota_keeper(now);
         if keeper != self.quota_leadership.keeper {
             let former = self.quota_leadership.keeper.as_str();
             let stopped = self.peers.get(former).is_some_and(Peer::is_draining);
-            // Who has just started lends its share for the first time, so nobody else counts it.
+            // A daemon that has just started lends its share for the first time: no other keeper counts it.
             let wait = if former.is_empty() || stopped { Duration::ZERO } else { KEEPER_TAKEOVER };
             self.quota_leadership.taking_over_until = now + wait;
             self.quota_leadership.keeper = keeper;
@@ -67,7 +68,7 @@
         self.retry_undecided(now);
     }
 
-    /// Tries what waits for a daemon that may let it in once more.
+    /// Retries requests that wait for a daemon that may admit them.
     fn retry_undecided(&mut self, now: Time) {
         for key in std::mem::take(&mut self.quota_leadership.undecided) {
             if let Some(request) = self.requests.get_mut(&key) {
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Has a request wait a little for a daemon that may let it in, where this one hears of none: it could not know,
-    /// and right after a start others soon do. False once it has waited for that.
+    /// Makes a request wait briefly for a daemon that may admit it. If no scheduler is heard, this daemon can't
+    /// know the quota's use; right after a start, one soon appears. Returns false once the request has waited.
     fn wait_for_keeper(&mut self, now: Time, key: Key) -> bool {
         let knows = !matches!(self.quota.role(), Role::Other { .. });
         let Some(request) = self.requests.get_mut(&key) else { return false };
@@ -96,7 +97,7 @@
         may_wait
     }
 
-    /// The daemon that schedules for the engines, through which most tokens pass.
+    /// The keeper: the scheduler of the engines, through which most tokens pass.
     fn quota_keeper(&self, now: Time) -> String {
         let table = self.table.as_ref();
         let pool = table.and_then(|table| table.engine_pools().next()).unwrap_or_default();
@@ -113,7 +114,7 @@
             return Role::Other { daemons: self.daemons() };
         }
         let lenders = self.peers.values().filter(|peer| peer.lends_to(now, id)).count();
-        // Others notice first where the one before has ended, since their requests find it gone.
+        // Other daemons notice first that the former keeper has ended, since their requests to it fail.
         let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemons();
         if !is_keeper {
             let keeper = self.peers.get(&self.quota_leadership.keeper);
@@ -127,8 +128,8 @@
         Role::Keeper { lent: lent.min(1.0), is_new }
     }
 
-    /// Daemons that have a share. Where most are heard of, those that have been silent for long have none; on the
-    /// other side of a cut they are not most.
+    /// Number of daemons that have a share. If most daemons are heard, those that have long been silent have none;
+    /// on the other side of a partition, they are a minority.
     fn lending_daemons(&self, now: Time) -> usize {
         let daemons = self.daemons();
         let is_silent = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + PEER_SILENCE_MAX;
@@ -137,14 +138,14 @@
         if heard * 2 > daemons { heard } else { daemons }
     }
 
-    /// What a request's workspace may have run: by the table in force, or as the daemon that has it was told.
+    /// The quota of a request's workspace, from the table in force or else from the daemon that received the request.
     fn quota_of(&self, request: &Request) -> Option<Quota> {
         let workspace = request.arrival.workspace.as_ref()?;
         let own = self.table.as_ref().and_then(|table| table.quota(&workspace.name));
         own.or(workspace.quota)
     }
 
-    /// The workspace of a request and the units that one run of it counts as, where that is limited.
+    /// The workspace of a request, its quota, and the units of one run; `None` if the workspace has no quota.
     fn units(&self, key: Key) -> Option<(String, Quota, u64)> {
         let request = self.requests.get(&key)?;
         let quota = self.quota_of(request)?;
@@ -154,7 +155,7 @@
         Some((workspace.name.clone(), quota, quota.units(tokens)))
     }
 
-    /// Counts a request against its workspace's quota; where nothing is left it is refused, and false.
+    /// Charges a request to its workspace's quota. Returns false if the request is refused, or waits for a keeper.
     pub(super) fn charge_quota(&mut self, now: Time, key: Key) -> bool {
         let Some((workspace, quota, units)) = self.units(key) else { return true };
         let Some(request) = self.requests.get(&key) else { return false };
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Counts the run that is about to begin, where it is one more than was let in.
+    /// Charges the run that is about to begin, unless it is already charged.
     pub(super) fn charge_run(&mut self, now: Time, key: Key) {
         let Some((workspace, _, units)) = self.units(key) else { return };
         let Some(request) = self.requests.get_mut(&key) else { return };
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Gives back what was counted for a request that ends and did not run.
+    /// Refunds the charged runs of a request that ends without them.
     pub(super) fn refund_quota(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let spare = u64::from(request.counted.saturating_sub(request.runs));
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Takes over what a peer used. Daemons that do not schedule have no use for it.
+    /// Records the usage that a peer reports. Daemons that are no schedulers don't need it.
     pub(super) fn record_peer_usage(&mut self, now: Time, digest: &Digest) {
         if !digest.used.is_empty() && self.is_scheduler(now) {
             let table = self.table.clone();
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: it arrives, waits, is sent, and is sent again, refused or given up.
+//! The states of a request: it arrives, waits, and is sent, retried, refused or given up.
 
 use super::admission::Turn;
 use super::place::Choice;
@@ -9,21 +9,21 @@
 use super::{Arrival, Command, Dispatch, Key, Node, Topic};
 use crate::prelude::*;
 
-/// Sends of one request at most, those that were refused or never left included.
+/// Maximum sends of one request, including those that were refused or never left.
 const MAX_SENDS_PER_REQUEST: u32 = 6;
-/// Idle connections to one server that a daemon keeps at most: what it has in flight there at its
-/// share of the load.
+/// Maximum idle connections of a daemon to one server: about the requests that it has in flight there
+/// at its share of the load.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// The part of the fixed number of repeats that each scheduler may use: no more than all of them have,
-/// also while others take over from those that have just ended.
+/// Share of the fixed number of retries that each scheduler may use. All schedulers together stay
+/// within that number, also while others take over from those that have just ended.
 const SCHEDULER_SLACK_SHARE: f64 = 1.0 / 6.0;
-/// The part of it that all other daemons may use together.
+/// Share of the fixed number of retries that all other daemons may use together.
 const OTHERS_SLACK_SHARE: f64 = 0.25;
 
 impl Node {
-    /// This daemon's part of the retry budget. All that have just started together take themselves for
-    /// schedulers until they hear of each other, and without the daemons' registrations nobody knows how
-    /// many share the fixed number.
+    /// This daemon's share of the retry budget. A daemon that has just started counts as no scheduler:
+    /// daemons that start together all believe to be schedulers until they hear of each other. Without
+    /// the daemons' registrations, the number that share the fixed part is unknown, and the share is 0.
     pub(super) fn retry_terms(&self, now: Time) -> Terms {
         let part = if self.is_scheduler(now) && !self.has_just_started(now) {
             SCHEDULER_SLACK_SHARE
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes a request in that this daemon places.
+    /// Accepts a request that this daemon places itself.
     pub(super) fn accept(
         &mut self,
         now: Time,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The pool for a request, by the weights of its route's splits.
+    /// Draws the pool for a request by the weights of its route's splits.
     pub(super) fn choose_pool(&mut self, arrival: &Arrival) -> String {
         let splits = &arrival.route.splits;
         let total: u32 = splits.iter().map(|split| split.weight).sum();
@@ -108,7 +108,7 @@
         true
     }
 
-    /// Draws what a request owes to the retry budget; false where nothing is left of it now.
+    /// Charges the retry budget if the request is a retry; returns false if the budget is exhausted.
     fn charge_retry(&mut self, now: Time, key: Key) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
         let pool = request.pool.clone();
@@ -121,8 +121,8 @@
         true
     }
 
-    /// Idle connections to one server that this daemon may keep: its part of half of what the server
-    /// accepts from all callers, since those at work count too.
+    /// Maximum idle connections of this daemon to one server: its share of half of the connections that
+    /// the server accepts from all callers, since busy connections count too.
     pub(super) fn max_idle_connections(&self, key: Key) -> usize {
         let table = self.table.as_ref();
         let pool = self.requests.get(&key).and_then(|request| table?.pool(&request.pool));
@@ -173,9 +173,8 @@
         self.assign(key, dispatch, &choice);
     }
 
-    /// Sends a request once more that provably did not run; `arrived` tells whether it reached its
-    /// server, which counts against the budget. Where that is used up the request waits for it as it
-    /// would for a server.
+    /// Retries a request that provably did not run. If it `arrived` at its server, the retry counts
+    /// against the budget; the request waits for an exhausted budget as it would for a server.
     pub(super) fn retry_unexecuted(&mut self, now: Time, key: Key, arrived: bool, code: Code) {
         self.release_slot(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
@@ -186,8 +185,8 @@
         self.send_or_wait(now, key);
     }
 
-    /// Sends a request once more that may have run, where its route allows it and it is not likely to be
-    /// what ended its server.
+    /// Retries a request that may have run, if its route allows that and the request is unlikely to
+    /// have crashed its server; otherwise gives it up.
     pub(super) fn retry_or_give_up(&mut self, now: Time, key: Key) {
         self.release_slot(key);
         let harmless = !self.may_crash_servers(now, key);
@@ -200,7 +199,7 @@
         self.remove_request(now, key);
     }
 
-    /// Frees what a sent request holds at its server.
+    /// Frees the capacity that a sent request uses at its server.
     pub(super) fn release_slot(&mut self, key: Key) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Phase::Sent { server, tokens, begun, .. } = request.phase else { return };
