--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -8,14 +8,14 @@
 const FORMER: (&str, &str) = ("e-1", "engine 21 ready 1 born:1000");
 const NEXT: (&str, &str) = ("e-1", "engine 21 ready 1 born:2000");
 
-fn shown(daemon: &mut Daemon, now: Time, name: &str) -> Vec<String> {
+fn metric_values(daemon: &mut Daemon, now: Time, name: &str) -> Vec<String> {
     let figures = daemon.node.metrics(now);
     let named = figures.iter().filter(|figure| figure.name == name);
     named.map(|figure| figure.value.to_string()).collect()
 }
 
 #[test]
-fn next_life_inherits_nothing() {
+fn next_incarnation_inherits_nothing() {
     let mut daemon = Daemon::with(1, &[FORMER]);
     let route = route("engines", Repeat::AtMostOnce, 1);
     let (request, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 1)));
@@ -26,12 +26,12 @@
     let effects = daemon.put(ms(40), Topic::Servers, &[NEXT]);
     assert!(effects.contains(&Effect::Disconnect(address(21))), "{effects:?}");
     assert_eq!(dispatch(&effects).server, "e-1", "its pause ended with its former life");
-    assert_eq!(shown(&mut daemon, ms(41), "running"), ["1"]);
-    assert_eq!(shown(&mut daemon, ms(41), "failures_in_a_row"), ["0"]);
+    assert_eq!(metric_values(&mut daemon, ms(41), "running"), ["1"]);
+    assert_eq!(metric_values(&mut daemon, ms(41), "failures_in_a_row"), ["0"]);
 }
 
 #[test]
-fn former_life_changes_nothing() {
+fn former_incarnation_changes_nothing() {
     let mut daemon = Daemon::with(1, &[FORMER, NEXT]);
     let route = route("engines", Repeat::AtMostOnce, 1);
     daemon.put(ms(10), Topic::Servers, &[("e-1", "engine 99 draining 1 born:1000")]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn peers_word_on_the_former_life_does_not_count_for_the_next() {
+fn peer_load_of_the_former_incarnation_does_not_count_for_the_next() {
     let mut daemon = Daemon::with(1, &[FORMER]);
     let busy = Busy { running: 48, pending_tokens: 900_000, ..Busy::default() };
     let digest = Digest {
@@ -56,15 +56,15 @@
     };
     daemon.node.apply(ms(10), Message::Frame(Frame::Digest(Box::new(digest.clone()))));
     daemon.tick(ms(11));
-    assert_eq!(shown(&mut daemon, ms(12), "running"), ["48"]);
+    assert_eq!(metric_values(&mut daemon, ms(12), "running"), ["48"]);
     daemon.put(ms(20), Topic::Servers, &[NEXT]);
     daemon.node.apply(ms(25), Message::Frame(Frame::Digest(Box::new(digest))));
     daemon.tick(ms(30));
-    assert_eq!(shown(&mut daemon, ms(31), "running"), ["0"]);
+    assert_eq!(metric_values(&mut daemon, ms(31), "running"), ["0"]);
 }
 
 #[test]
-fn what_ran_in_the_former_life_is_sent_again_where_it_may_be() {
+fn repeatable_requests_of_the_former_incarnation_are_resent() {
     let mut daemon = Daemon::with(1, &[FORMER, ("e-2", "engine 22 ready 1 born:1000")]);
     let (mut at_former, mut moved) = (Vec::new(), Vec::new());
     for subject in 0..8 {
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn orders_expect_the_counts_of_the_life_that_they_go_to() {
+fn orders_expect_the_order_count_of_the_target_incarnation() {
     let mut daemon = Daemon::with(1, &[FORMER]);
     daemon.put(ms(10), Topic::Operator, &[("w", "weights 2")]);
-    let mut given = Vec::new();
+    let mut expected_counts = Vec::new();
     let mut lease = 0;
     let mut key = None;
     for now in (20..8_000).step_by(20) {
@@ -100,14 +100,14 @@
                 }
                 Effect::Order { server, expect, .. } => {
                     key = Some(server);
-                    given.push(expect);
+                    expected_counts.push(expect);
                     Message::Ordered(server, OrderEnd::Accepted)
                 }
                 _ => continue,
             };
             effects.extend(daemon.node.apply(ms(now), message));
         }
-        if given.len() == 1 && now % 200 == 0 {
+        if expected_counts.len() == 1 && now % 200 == 0 {
             // It restarts while it loads; its own report says so before its registration does.
             let weights = BTreeMap::from([("m".to_owned(), 1)]);
             let state = State { weights, busy: false, sequence: 0, born: 2_000 };
@@ -115,16 +115,16 @@
             daemon.node.apply(ms(now), Message::Polled(server, Some(state)));
         }
     }
-    assert_eq!(given, [0, 0], "each life has taken no order before its first");
+    assert_eq!(expected_counts, [0, 0], "each life has taken no order before its first");
 }
 
 #[test]
-fn report_of_the_former_life_changes_nothing() {
+fn report_of_the_former_incarnation_changes_nothing() {
     let mut daemon = Daemon::with(1, &[FORMER, NEXT]);
     let key =
         daemon.node.incarnations.server(&Incarnation::new("e-1", 2_000)).expect("it is known");
     let weights = BTreeMap::from([("m".to_owned(), 9)]);
     let state = State { weights, busy: false, sequence: 4, born: 1_000 };
     daemon.node.apply(ms(10), Message::Polled(key, Some(state)));
-    assert_eq!(shown(&mut daemon, ms(20), "weights"), ["1"]);
+    assert_eq!(metric_values(&mut daemon, ms(20), "weights"), ["1"]);
 }
--- a/src/fleet/tests/poison.rs
+++ b/src/fleet/tests/poison.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 use crate::route::Repeat;
 
-const FATAL: Fingerprint = Fingerprint(u64::MAX);
+const CRASHING: Fingerprint = Fingerprint(u64::MAX);
 
 fn engines(count: u8) -> Vec<(String, String)> {
     (0..count).map(|n| (format!("e-{n}"), format!("engine {} ready 1", 100 + n))).collect()
@@ -22,13 +22,13 @@
 }
 
 /// A request comes to a daemon for a pool; its key.
-fn ask(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> Key {
+fn send_request(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> Key {
     site.daemons[daemon].fingerprint = fingerprint;
     site.arrive(daemon, "engines", Repeat::AtMostOnce)
 }
 
 /// Where a request is sent next that was just told to go on, past servers that have ended.
-fn sent_somewhere(site: &mut Site, daemon: usize, key: Key) -> Option<Dispatch> {
+fn next_live_dispatch(site: &mut Site, daemon: usize, key: Key) -> Option<Dispatch> {
     loop {
         let commands = site.commands(daemon, key);
         let [Command::Dispatch(dispatch)] = commands.as_slice() else { return None };
@@ -40,9 +40,9 @@
 }
 
 /// A request ends the server that it is sent to; false where it is sent to none.
-fn ends_a_server(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> bool {
-    let key = ask(site, daemon, fingerprint);
-    let Some(dispatch) = sent_somewhere(site, daemon, key) else { return false };
+fn crashes_a_server(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> bool {
+    let key = send_request(site, daemon, fingerprint);
+    let Some(dispatch) = next_live_dispatch(site, daemon, key) else { return false };
     site.ended.insert(dispatch.address);
     site.report(daemon, key, dispatch.attempt, Report::Lost(Loss::Connection));
     site.pass(ms(400));
@@ -57,18 +57,18 @@
 }
 
 #[test]
-fn request_that_three_servers_ended_under_is_refused_by_all() {
+fn request_that_crashed_three_servers_is_refused_by_all() {
     for daemons in [1, 3, 7, 50, 195] {
         let mut site = site(daemons, 8);
         let count = usize::from(daemons);
-        let ended = (0..8).filter(|n| ends_a_server(&mut site, n % count, FATAL)).count();
+        let ended = (0..8).filter(|n| crashes_a_server(&mut site, n % count, CRASHING)).count();
         assert_eq!(ended, 3, "servers that it ended before {daemons} daemons");
         for daemon in 0..count {
-            let key = ask(&mut site, daemon, FATAL);
+            let key = send_request(&mut site, daemon, CRASHING);
             let code = refusal(&mut site, daemon, key);
             assert_eq!(code, Some(Code::RequestBlocked), "daemon {daemon} of {daemons}");
         }
-        let other = ask(&mut site, 0, Fingerprint(1));
+        let other = send_request(&mut site, 0, Fingerprint(1));
         site.sent(0, other);
     }
 }
@@ -83,12 +83,12 @@
 /// a first look, with looks written out: Accepted, 868.906µs after the break
 /// ```
 #[test]
-fn end_of_a_server_that_stops_to_listen_last_counts_while_the_store_is_down() {
+fn crash_of_a_server_that_closes_its_port_last_counts_while_the_store_is_down() {
     let mut site = site(3, 8);
     let mut ended = 0;
     for n in 0..6 {
-        let key = ask(&mut site, n % 3, FATAL);
-        let Some(dispatch) = sent_somewhere(&mut site, n % 3, key) else { continue };
+        let key = send_request(&mut site, n % 3, CRASHING);
+        let Some(dispatch) = next_live_dispatch(&mut site, n % 3, key) else { continue };
         ended += 1;
         site.report(n % 3, key, dispatch.attempt, Report::Lost(Loss::Connection));
         site.ended.insert(dispatch.address);
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn lost_answer_of_a_server_that_lives_on_counts_for_nothing() {
+fn lost_answer_of_a_running_server_is_no_crash() {
     let mut site = site(3, 5);
     for n in 0..10 {
-        let key = ask(&mut site, n % 3, FATAL);
+        let key = send_request(&mut site, n % 3, CRASHING);
         let attempt = site.sent(n % 3, key).attempt;
         site.report(n % 3, key, attempt, Report::Lost(Loss::Connection));
         site.pass(ms(5_000));
@@ -109,10 +109,10 @@
 }
 
 #[test]
-fn answer_that_is_none_counts_for_nothing() {
+fn malformed_answer_is_no_crash() {
     let mut site = site(3, 5);
     for n in 0..5 {
-        let key = ask(&mut site, n % 3, FATAL);
+        let key = send_request(&mut site, n % 3, CRASHING);
         let sent = site.sent(n % 3, key);
         site.ended.insert(sent.address);
         site.report(n % 3, key, sent.attempt, Report::Lost(Loss::Answer));
@@ -122,10 +122,10 @@
 }
 
 #[test]
-fn server_that_leaves_by_plan_counts_for_nothing() {
+fn planned_stop_of_a_server_is_no_crash() {
     let mut site = site(1, 5);
     for _ in 0..4 {
-        let key = ask(&mut site, 0, FATAL);
+        let key = send_request(&mut site, 0, CRASHING);
         let sent = site.sent(0, key);
         let last = sent.address.ip().to_string().rsplit('.').next().map(str::to_owned);
         let value = format!("engine {} draining 1", last.expect("it has four numbers"));
@@ -135,7 +135,7 @@
         site.report(0, key, sent.attempt, Report::Lost(Loss::Connection));
         site.pass(ms(1_000));
     }
-    let key = ask(&mut site, 0, FATAL);
+    let key = send_request(&mut site, 0, CRASHING);
     site.sent(0, key);
 }
 
@@ -143,9 +143,9 @@
 fn request_that_was_answered_since_is_not_blocked() {
     let mut site = site(3, 8);
     for n in 0..6 {
-        assert!(ends_a_server(&mut site, n % 3, FATAL), "end {n}");
-        let key = ask(&mut site, n % 3, FATAL);
-        let attempt = sent_somewhere(&mut site, n % 3, key).expect("a server is left").attempt;
+        assert!(crashes_a_server(&mut site, n % 3, CRASHING), "end {n}");
+        let key = send_request(&mut site, n % 3, CRASHING);
+        let attempt = next_live_dispatch(&mut site, n % 3, key).expect("a server is left").attempt;
         site.report(n % 3, key, attempt, Report::Begun(Some(1)));
         site.report(n % 3, key, attempt, Report::Ended);
         site.pass(ms(100));
@@ -153,36 +153,36 @@
 }
 
 #[test]
-fn request_that_may_be_repeated_is_not_repeated_past_the_third_server() {
+fn repeatable_request_is_not_repeated_after_the_third_crash() {
     let mut site = site(3, 8);
-    assert!(ends_a_server(&mut site, 0, FATAL) && ends_a_server(&mut site, 1, FATAL));
-    site.daemons[2].fingerprint = FATAL;
+    assert!(crashes_a_server(&mut site, 0, CRASHING) && crashes_a_server(&mut site, 1, CRASHING));
+    site.daemons[2].fingerprint = CRASHING;
     let key = site.arrive(2, "engines", Repeat::Resumable);
-    let sent = sent_somewhere(&mut site, 2, key).expect("a server is left");
+    let sent = next_live_dispatch(&mut site, 2, key).expect("a server is left");
     site.ended.insert(sent.address);
     site.report(2, key, sent.attempt, Report::Lost(Loss::Connection));
     assert_eq!(site.commands(2, key), [Command::GiveUp]);
 }
 
 #[test]
-fn copies_under_way_end_with_the_block_unless_they_are_answered() {
+fn running_copies_end_with_the_block_unless_they_are_answered() {
     let mut site = site(3, 8);
-    assert!(ends_a_server(&mut site, 0, FATAL) && ends_a_server(&mut site, 1, FATAL));
-    let running = ask(&mut site, 2, FATAL);
-    sent_somewhere(&mut site, 2, running).expect("a server is left");
-    let answered = ask(&mut site, 1, FATAL);
-    let attempt = sent_somewhere(&mut site, 1, answered).expect("a server is left").attempt;
+    assert!(crashes_a_server(&mut site, 0, CRASHING) && crashes_a_server(&mut site, 1, CRASHING));
+    let running = send_request(&mut site, 2, CRASHING);
+    next_live_dispatch(&mut site, 2, running).expect("a server is left");
+    let answered = send_request(&mut site, 1, CRASHING);
+    let attempt = next_live_dispatch(&mut site, 1, answered).expect("a server is left").attempt;
     site.report(1, answered, attempt, Report::Begun(Some(1)));
-    assert!(ends_a_server(&mut site, 0, FATAL));
+    assert!(crashes_a_server(&mut site, 0, CRASHING));
     assert_eq!(site.commands(2, running), [Command::GiveUp], "it may have run");
     assert_eq!(site.commands(1, answered), []);
 }
 
 #[test]
-fn ends_are_remembered_when_schedulers_stop_one_after_the_other() {
+fn crashes_are_remembered_when_schedulers_stop_one_after_the_other() {
     let mut site = site(7, 8);
     let scheduler = site.scheduler("engines");
-    assert!(ends_a_server(&mut site, scheduler, FATAL));
+    assert!(crashes_a_server(&mut site, scheduler, CRASHING));
     for _ in 0..2 {
         let scheduler = site.scheduler("engines");
         site.down.insert(scheduler);
@@ -190,7 +190,7 @@
     }
     let mut ended = 1;
     for n in (0..7).cycle().take(28) {
-        if !site.down.contains(&n) && ends_a_server(&mut site, n, FATAL) {
+        if !site.down.contains(&n) && crashes_a_server(&mut site, n, CRASHING) {
             ended += 1;
         }
     }
@@ -198,13 +198,13 @@
 }
 
 #[test]
-fn daemon_that_starts_again_learns_of_blocks_from_peers_or_the_store() {
+fn restarted_daemon_learns_of_blocks_from_peers_or_the_store() {
     let mut site = site(3, 8);
     for n in 0..3 {
-        assert!(ends_a_server(&mut site, n, FATAL));
+        assert!(crashes_a_server(&mut site, n, CRASHING));
     }
     let blocked = |daemon: &mut Daemon, now| {
-        daemon.fingerprint = FATAL;
+        daemon.fingerprint = CRASHING;
         let (_, effects) = daemon.arrive(now, &route("engines", Repeat::AtMostOnce, 1), None);
         matches!(commands(&effects).as_slice(), [Command::Refuse(Code::RequestBlocked, _)])
     };
@@ -216,31 +216,31 @@
         }
     }
     assert!(blocked(&mut told, ms(20)), "a digest tells of blocks that are not written");
-    assert!(site.written.contains(&(FATAL, true)), "a scheduler has it written");
+    assert!(site.written.contains(&(CRASHING, true)), "a scheduler has it written");
     let mut read = Daemon::with(8, &[]);
-    let record = format!("blocked {}", FATAL.0);
-    read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", FATAL.0), &record)]);
+    let record = format!("blocked {}", CRASHING.0);
+    read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
     assert!(blocked(&mut read, ms(20)), "the store tells of it");
-    read.put(ms(30), Topic::Routers, &[(&format!("blocked-{}", FATAL.0), "")]);
+    read.put(ms(30), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), "")]);
     assert!(!blocked(&mut read, ms(40)), "operators may take it away");
 }
 
 /// A daemon counted the day of a block from when it read the record, so that daemons that all started again at some
 /// time of that day held it for another.
 #[test]
-fn block_that_the_store_keeps_lapses_a_day_after_it_was_made() {
+fn stored_block_expires_a_day_after_it_was_made() {
     let hour = Duration::from_secs(3_600);
     for (hours, is_blocked) in [(22, true), (23, false), (25, false)] {
         let mut read = Daemon::with(8, &[]);
-        let record = format!("blocked {} {}", FATAL.0, hours * 3_600);
-        read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", FATAL.0), &record)]);
+        let record = format!("blocked {} {}", CRASHING.0, hours * 3_600);
+        read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
         let effects = read.node.apply(hour + ms(10), Message::Tick);
         assert_eq!(
-            read.node.poison.is_blocked(FATAL),
+            read.node.poison.is_blocked(CRASHING),
             is_blocked,
             "{hours} h old when it was read"
         );
-        let removed = effects.iter().any(|e| matches!(e, Effect::WriteBlock(FATAL, None)));
+        let removed = effects.iter().any(|e| matches!(e, Effect::WriteBlock(CRASHING, None)));
         assert_eq!(removed, !is_blocked, "it is taken away from the store");
     }
 }
@@ -248,14 +248,14 @@
 /// Of two daemons that let a block lapse at other moments, the first had it back from the other's digest for another
 /// day, and gave it back in its turn.
 #[test]
-fn block_that_daemons_tell_each_other_lapses_after_a_day() {
+fn block_exchanged_by_daemons_expires_after_a_day() {
     let hour = Duration::from_secs(3_600);
     let mut site = site(2, 8);
     let start = site.now;
-    let block = poison::Blocked { fingerprint: FATAL, age: hour * 23 };
+    let block = poison::Blocked { fingerprint: CRASHING, age: hour * 23 };
     let word = Frame::Poison(poison::Message::Blocked(vec![block]));
     site.daemons[0].node.apply(start, Message::Frame(word));
-    let mut heard = Vec::new();
+    let mut blocked_at_daemons = Vec::new();
     for at in [ms(600), hour, hour + ms(11_000), hour + ms(22_000)] {
         for (from, to) in [(0, 1), (1, 0)] {
             for effect in site.daemons[from].node.apply(start + at, Message::Tick) {
@@ -264,39 +264,40 @@
                 }
             }
         }
-        heard.push([0, 1].map(|n: usize| site.daemons[n].node.poison.is_blocked(FATAL)));
+        blocked_at_daemons
+            .push([0, 1].map(|n: usize| site.daemons[n].node.poison.is_blocked(CRASHING)));
     }
-    assert_eq!(heard.first(), Some(&[true, true]), "a digest tells of it");
-    assert_eq!(heard.last(), Some(&[false, false]), "{heard:?}");
+    assert_eq!(blocked_at_daemons.first(), Some(&[true, true]), "a digest tells of it");
+    assert_eq!(blocked_at_daemons.last(), Some(&[false, false]), "{blocked_at_daemons:?}");
 }
 
 #[test]
 fn blocks_are_written_until_the_store_shows_them() {
     let mut site = site(3, 8);
     for n in 0..3 {
-        assert!(ends_a_server(&mut site, n, FATAL));
+        assert!(crashes_a_server(&mut site, n, CRASHING));
     }
     site.pass(ms(9_000));
     let tries = site.written.len();
     assert!((3..=15).contains(&tries), "{tries} writes in nine seconds of an outage");
-    let record = format!("blocked {}", FATAL.0);
+    let record = format!("blocked {}", CRASHING.0);
     let now = site.now;
     for daemon in &mut site.daemons {
-        daemon.put(now, Topic::Routers, &[(&format!("blocked-{}", FATAL.0), &record)]);
+        daemon.put(now, Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
     }
     site.pass(ms(9_000));
     assert_eq!(site.written.len(), tries);
 }
 
 #[test]
-fn request_that_silences_servers_is_blocked_once_these_are_seen_to_have_started_again() {
+fn request_that_hangs_servers_is_blocked_once_their_restarts_are_seen() {
     let servers = [1, 2, 3, 4, 5, 6].map(|n| (format!("e-{n}"), 100 + n));
     let first: Vec<(String, String)> =
         servers.iter().map(|(id, n)| (id.clone(), format!("engine {n} ready 1 born:5"))).collect();
     let first: Vec<(&str, &str)> = first.iter().map(|(id, v)| (id.as_str(), v.as_str())).collect();
     let mut site = Site::new(3, &first);
     for round in 0..3 {
-        let key = ask(&mut site, round, FATAL);
+        let key = send_request(&mut site, round, CRASHING);
         let sent = site.sent(round, key);
         site.pass(ms(1_500));
         let n = servers.iter().find(|(id, _)| *id == sent.server).expect("it is one of them").1;
@@ -312,6 +313,6 @@
         // It runs for seconds: only where servers end seldom it is no chance that it is at each end.
         site.pass(ms(30_000));
     }
-    let key = ask(&mut site, 0, FATAL);
+    let key = send_request(&mut site, 0, CRASHING);
     assert_eq!(refusal(&mut site, 0, key), Some(Code::RequestBlocked));
 }
--- a/src/fleet/tests/requests.rs
+++ b/src/fleet/tests/requests.rs
@@ -5,11 +5,11 @@
 use crate::prelude::*;
 use crate::route::Repeat;
 
-const TWO: [(&str, &str); 2] = [("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")];
+const TWO_SERVERS: [(&str, &str); 2] = [("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")];
 
 #[test]
 fn lost_at_most_once_is_given_up() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let route = route("plain", Repeat::AtMostOnce, 3);
     let (request, effects) = daemon.arrive(ms(10), &route, None);
     assert_eq!(dispatch(&effects).attempt, 1);
@@ -19,7 +19,7 @@
 
 #[test]
 fn failed_at_most_once_is_given_up() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 3), None);
     let effects = daemon.report(ms(20), request, 1, Report::Failed);
     assert_eq!(commands(&effects), [Command::GiveUp]);
@@ -27,7 +27,7 @@
 
 #[test]
 fn refused_at_most_once_is_sent_elsewhere() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let (request, effects) = daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 1), None);
     let first = dispatch(&effects);
     let effects = daemon.report(ms(20), request, 1, Report::Refused(Refused::Busy));
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn unsent_costs_no_budget() {
-    let mut daemon = Daemon::with(1, &TWO);
+fn unsent_attempt_costs_no_budget() {
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     for at in 0..200 {
         let now = ms(10_000 * (at + 1));
         let (request, _) = daemon.arrive(now, &route("plain", Repeat::AtMostOnce, 1), None);
@@ -50,7 +50,7 @@
 
 #[test]
 fn lost_idempotent_is_repeated_up_to_its_attempts() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::Idempotent, 2), None);
     let effects = daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     assert_eq!(dispatch(&effects).attempt, 2);
@@ -60,7 +60,7 @@
 
 #[test]
 fn report_of_an_earlier_attempt_is_ignored() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::Idempotent, 3), None);
     daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     assert!(daemon.report(ms(21), request, 1, Report::Lost(Loss::Connection)).is_empty());
@@ -68,7 +68,7 @@
 
 #[test]
 fn repeats_stay_within_the_budget() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let route = route("plain", Repeat::Idempotent, 2);
     let (mut requests, mut repeats) = (0, 0);
     for step in 0..500 {
@@ -89,7 +89,7 @@
 
 #[test]
 fn refused_everywhere_is_refused_as_not_run() {
-    let mut daemon = Daemon::with(1, &TWO);
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     let (request, mut effects) =
         daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 1), None);
     let mut attempts = 0;
@@ -126,20 +126,20 @@
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::Idempotent, 2), None);
     daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     let effects = daemon.tick(ms(2_000));
-    let seen = commands(&effects);
-    assert!(!seen.iter().any(|c| matches!(c, Command::Refuse(..))), "{seen:?}");
+    let sent_commands = commands(&effects);
+    assert!(!sent_commands.iter().any(|c| matches!(c, Command::Refuse(..))), "{sent_commands:?}");
 }
 
 #[test]
-fn full_servers_make_it_wait_and_the_most_urgent_goes_first() {
+fn full_servers_make_requests_wait_in_order_of_priority() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
-    let usual = route("plain", Repeat::AtMostOnce, 1);
-    let mut urgent = (*usual).clone();
+    let normal = route("plain", Repeat::AtMostOnce, 1);
+    let mut urgent = (*normal).clone();
     urgent.priority = 0;
     let urgent = Arc::new(urgent);
-    let (first, _) = daemon.arrive(ms(10), &usual, None);
-    daemon.arrive(ms(10), &usual, None);
-    assert!(commands(&daemon.arrive(ms(11), &usual, None).1).is_empty());
+    let (first, _) = daemon.arrive(ms(10), &normal, None);
+    daemon.arrive(ms(10), &normal, None);
+    assert!(commands(&daemon.arrive(ms(11), &normal, None).1).is_empty());
     let (last, effects) = daemon.arrive(ms(12), &urgent, None);
     assert!(commands(&effects).is_empty());
     let effects = daemon.report(ms(20), first, 1, Report::Ended);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn silent_server_loses_what_may_be_repeated() {
+fn silent_server_loses_repeatable_requests() {
     let servers = [("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")];
     let mut daemon = Daemon::with(1, &servers);
     let (_, effects) = daemon.arrive(ms(1_000), &route("plain", Repeat::Idempotent, 2), None);
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn silent_server_keeps_what_runs_at_most_once() {
-    let mut daemon = Daemon::with(1, &TWO);
+fn silent_server_keeps_at_most_once_requests() {
+    let mut daemon = Daemon::with(1, &TWO_SERVERS);
     daemon.arrive(ms(1_000), &route("plain", Repeat::AtMostOnce, 2), None);
     assert!(commands(&daemon.tick(ms(4_000))).is_empty());
 }
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn stream_that_broke_waits_for_the_retry_budget() {
+fn broken_stream_waits_for_the_retry_budget() {
     let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1"), ("e-2", "engine 22 ready 1")]);
     let resumable = route("engines", Repeat::Resumable, 2);
     // Repeats that use the budget of the window up to 11.0 s.
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn end_of_a_stop_answers_what_can_still_be_answered_truly() {
+fn finish_stop_refuses_waiting_and_gives_up_unanswered_requests() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let (begun, _) = daemon.arrive(ms(10), &route, None);
@@ -206,17 +206,17 @@
     let (waiting, _) = daemon.arrive(ms(40), &route, None);
     daemon.node.apply(ms(50), Message::Stop);
     let effects = daemon.node.apply(ms(60), Message::StopEnds);
-    let told: Vec<(Key, Command)> = effects
+    let sent_commands: Vec<(Key, Command)> = effects
         .into_iter()
         .filter_map(|effect| match effect {
             Effect::Command(key, command) => Some((key, command)),
             _ => None,
         })
         .collect();
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told.contains(&(sent, Command::GiveUp)));
+    assert_eq!(sent_commands.len(), 2, "{sent_commands:?}");
+    assert!(sent_commands.contains(&(sent, Command::GiveUp)));
     let refused = |(key, command): &(Key, Command)| {
         *key == waiting && matches!(command, Command::Refuse(Code::Draining, _))
     };
-    assert!(told.iter().any(refused), "{told:?}");
+    assert!(sent_commands.iter().any(refused), "{sent_commands:?}");
 }
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -5,54 +5,60 @@
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
 
-fn ask(daemon: &mut Daemon, now: Time) -> Vec<Command> {
+fn request_commands(daemon: &mut Daemon, now: Time) -> Vec<Command> {
     let (request, effects) = daemon.arrive(now, &route("plain", Repeat::AtMostOnce, 1), None);
     daemon.node.apply(now, Message::Leave(request));
     commands(&effects)
 }
 
 #[test]
-fn leaving_server_gets_nothing_and_never_returns() {
+fn draining_server_gets_no_requests_and_stays_draining() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
-    assert_eq!(ask(&mut daemon, ms(10)).len(), 1);
+    assert_eq!(request_commands(&mut daemon, ms(10)).len(), 1);
     daemon.put(ms(20), Topic::Servers, &[("s-1", "plain 11 draining")]);
-    assert!(ask(&mut daemon, ms(21)).is_empty());
+    assert!(request_commands(&mut daemon, ms(21)).is_empty());
     daemon.put(ms(30), Topic::Servers, &[("s-1", "plain 11 ready")]);
-    assert!(ask(&mut daemon, ms(31)).is_empty());
+    assert!(request_commands(&mut daemon, ms(31)).is_empty());
 }
 
 #[test]
-fn gone_server_gets_nothing() {
+fn removed_server_gets_no_requests() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     daemon.put(ms(20), Topic::Servers, &[("s-1", "")]);
-    assert!(ask(&mut daemon, ms(21)).is_empty());
+    assert!(request_commands(&mut daemon, ms(21)).is_empty());
 }
 
 #[test]
-fn registration_lapsed_in_an_outage_is_kept_until_it_could_have_returned() {
+fn registration_lapsed_in_an_outage_is_kept_until_it_could_be_renewed() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let down = Message::Down(Tracked::Topic(Topic::Servers), "down".into());
     daemon.node.apply(ms(1_000), down);
     daemon.put(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
-    assert_eq!(ask(&mut daemon, ms(1_600)).len(), 1);
+    assert_eq!(request_commands(&mut daemon, ms(1_600)).len(), 1);
     daemon.put(ms(2_000), Topic::Servers, &[("s-2", "plain 12 ready")]);
     daemon.tick(ms(3_300));
     for at in 0..4 {
-        let seen = ask(&mut daemon, ms(3_400 + at));
-        assert!(matches!(&seen[..], [Command::Dispatch(d)] if d.server == "s-2"), "{seen:?}");
+        let sent_commands = request_commands(&mut daemon, ms(3_400 + at));
+        assert!(
+            matches!(&sent_commands[..], [Command::Dispatch(d)] if d.server == "s-2"),
+            "{sent_commands:?}"
+        );
     }
 }
 
 #[test]
-fn whole_read_without_a_server_takes_it_out() {
+fn complete_read_without_a_server_removes_it() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let record = Record { key: "s-2".into(), offset: 9, value: Some(b"plain 12 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 0, to: 100, records: vec![record] };
     let read = Read { batch, whole: true, asked: ms(50) };
     daemon.node.apply(ms(50), Message::Read(read));
     for at in 0..4 {
-        let seen = ask(&mut daemon, ms(60 + at));
-        assert!(matches!(&seen[..], [Command::Dispatch(d)] if d.server == "s-2"), "{seen:?}");
+        let sent_commands = request_commands(&mut daemon, ms(60 + at));
+        assert!(
+            matches!(&sent_commands[..], [Command::Dispatch(d)] if d.server == "s-2"),
+            "{sent_commands:?}"
+        );
     }
 }
 
@@ -96,33 +102,33 @@
     assert_eq!(send(&mut daemon, ms(22), None, 3).weights, Some(2));
 }
 
-fn stored(salt: &str, parts: &[u64], epoch: u64) -> Message {
+fn store_events(salt: &str, parts: &[u64], epoch: u64) -> Message {
     let change = |part: &u64| Stored { salt: salt.into(), part: *part, tokens: 4_000 };
     let changes = parts.iter().map(change).collect();
     Message::Events(Place::Store, Some(EventsRead { epoch, next: 0, lost: false, changes }))
 }
 
 #[test]
-fn kv_store_is_sent_what_it_lacks_and_asked_for_what_it_keeps() {
+fn kv_store_is_sent_missing_parts_and_read_for_stored_ones() {
     let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.node.apply(ms(900), stored("1", &[], 1));
+    daemon.node.apply(ms(900), store_events("1", &[], 1));
     let first = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(first.save_to, Some(address(200)));
     // It is on its way, so the next one does not send it again.
     assert_eq!(send(&mut daemon, ms(2_100), None, 3).save_to, None);
-    daemon.node.apply(ms(2_500), stored("1", &[7, 3], 1));
-    daemon.node.apply(ms(8_900), stored("1", &[], 1));
+    daemon.node.apply(ms(2_500), store_events("1", &[7, 3], 1));
+    daemon.node.apply(ms(8_900), store_events("1", &[], 1));
     let kept = send(&mut daemon, ms(9_000), None, 3);
     assert_eq!((kept.fetch_from, kept.save_to), (Some(address(200)), None));
     // A store that has started again keeps nothing.
-    daemon.node.apply(ms(9_500), stored("1", &[], 2));
+    daemon.node.apply(ms(9_500), store_events("1", &[], 2));
     assert_eq!(send(&mut daemon, ms(10_000), None, 3).save_to, Some(address(200)));
 }
 
 #[test]
 fn kv_store_that_is_down_is_not_used() {
     let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.node.apply(ms(900), stored("1", &[7, 3], 1));
+    daemon.node.apply(ms(900), store_events("1", &[7, 3], 1));
     daemon.node.apply(ms(1_000), Message::Events(Place::Store, None));
     let sent = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(sent.save_to, None);
@@ -132,9 +138,9 @@
 }
 
 #[test]
-fn kv_store_link_bounds_what_is_sent() {
+fn kv_store_link_limits_saves() {
     let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.node.apply(ms(900), stored("1", &[], 1));
+    daemon.node.apply(ms(900), store_events("1", &[], 1));
     daemon.tick(ms(1_000));
     let sent = (0..200)
         .filter(|subject| send(&mut daemon, ms(2_000), None, *subject).save_to.is_some())
@@ -145,7 +151,7 @@
 }
 
 #[test]
-fn engine_with_a_queue_gets_nothing_that_would_begin_late() {
+fn engine_with_a_queue_gets_no_request_that_would_begin_late() {
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let mut sent = Vec::new();
@@ -198,19 +204,25 @@
 }
 
 /// Sixteen engines with weights 1.
-fn sixteen() -> Vec<(String, String)> {
+fn sixteen_engines() -> Vec<(String, String)> {
     (1..=16).map(|n| (format!("e-{n:02}"), format!("engine {} ready 1", 20 + n))).collect()
 }
 
-fn with_sixteen(last: u8) -> Daemon {
-    let engines = sixteen();
+fn daemon_with_sixteen_engines(last: u8) -> Daemon {
+    let engines = sixteen_engines();
     let engines: Vec<(&str, &str)> =
         engines.iter().map(|(id, value)| (id.as_str(), value.as_str())).collect();
     Daemon::with(last, &engines)
 }
 
 /// A peer tells of its work.
-fn told(daemon: &mut Daemon, now: Time, last: u8, busy: &[(&str, Busy)], heat: &[(u64, f32)]) {
+fn receive_digest(
+    daemon: &mut Daemon,
+    now: Time,
+    last: u8,
+    busy: &[(&str, Busy)],
+    heat: &[(u64, f32)],
+) {
     let digest = Digest {
         daemon: format!("router-{last:03}"),
         address: address(last).to_string(),
@@ -222,11 +234,11 @@
 }
 
 #[test]
-fn home_that_is_full_stays_the_home_and_others_fetch_from_it() {
-    let mut daemon = with_sixteen(1);
+fn full_home_stays_the_home_and_others_fetch_from_it() {
+    let mut daemon = daemon_with_sixteen_engines(1);
     let home = send(&mut daemon, ms(10), None, 3);
     let full = Busy { running: 48, ..Busy::default() };
-    told(&mut daemon, ms(20), 2, &[(home.server.as_str(), full)], &[]);
+    receive_digest(&mut daemon, ms(20), 2, &[(home.server.as_str(), full)], &[]);
     let spilled = send(&mut daemon, ms(30), None, 3);
     assert_ne!(spilled.server, home.server);
     assert_eq!(spilled.fetch_from, Some(home.address));
@@ -236,25 +248,25 @@
 }
 
 #[test]
-fn home_that_loads_weights_has_one_stand_in_for_all_daemons() {
-    let mut stand_ins = BTreeSet::new();
+fn home_that_loads_weights_has_one_substitute_for_all_daemons() {
+    let mut substitutes = BTreeSet::new();
     for last in [1, 2, 3] {
-        let mut daemon = with_sixteen(last);
+        let mut daemon = daemon_with_sixteen_engines(last);
         let home = send(&mut daemon, ms(10), None, 3).server;
         let loading = Busy { ordered: true, ..Busy::default() };
-        told(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
+        receive_digest(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
         let sent = send(&mut daemon, ms(30), None, 3).server;
         assert_ne!(sent, home);
-        stand_ins.insert(sent);
+        substitutes.insert(sent);
     }
-    assert_eq!(stand_ins.len(), 1, "{stand_ins:?}");
+    assert_eq!(substitutes.len(), 1, "{substitutes:?}");
 }
 
 #[test]
-fn subject_that_one_of_many_daemons_sees_now_and_then_has_one_home() {
-    let mut daemon = with_sixteen(1);
+fn subject_seen_rarely_by_one_of_many_daemons_has_one_home() {
+    let mut daemon = daemon_with_sixteen_engines(1);
     for last in 2..60 {
-        told(&mut daemon, ms(10), last, &[], &[]);
+        receive_digest(&mut daemon, ms(10), last, &[], &[]);
     }
     let servers: BTreeSet<String> =
         (0..6).map(|n| send(&mut daemon, ms(20 + 900 * n), None, 3).server).collect();
@@ -262,14 +274,14 @@
 }
 
 #[test]
-fn subject_that_is_hot_at_all_daemons_gets_more_homes() {
-    let mut daemon = with_sixteen(1);
+fn hot_subject_of_all_daemons_gets_more_homes() {
+    let mut daemon = daemon_with_sixteen_engines(1);
     let first = send(&mut daemon, ms(10), None, 3);
     let part = daemon.node.heat.top(ms(10), 2);
     assert_eq!(part.len(), 2);
     let heat: Vec<(u64, f32)> = part.iter().map(|(part, _)| (part.0, 100.0)).collect();
     for last in 2..8 {
-        told(&mut daemon, ms(20), last, &[], &heat);
+        receive_digest(&mut daemon, ms(20), last, &[], &heat);
     }
     // 600 ms of work a second want more than two engines.
     let mut homes = BTreeSet::from([first.server]);
@@ -288,22 +300,22 @@
 #[test]
 fn idle_connections_are_shared_by_all_daemons() {
     // The pool accepts 100 connections from all callers.
-    let mut alone = with_sixteen(1);
+    let mut alone = daemon_with_sixteen_engines(1);
     assert_eq!(send(&mut alone, ms(10), None, 3).most_idle, 16);
-    let mut many = with_sixteen(1);
+    let mut many = daemon_with_sixteen_engines(1);
     for last in 2..11 {
-        told(&mut many, ms(10), last, &[], &[]);
+        receive_digest(&mut many, ms(10), last, &[], &[]);
     }
     assert_eq!(send(&mut many, ms(20), None, 3).most_idle, 5);
     for last in 11..100 {
-        told(&mut many, ms(20), last, &[], &[]);
+        receive_digest(&mut many, ms(20), last, &[], &[]);
     }
     assert_eq!(send(&mut many, ms(30), None, 3).most_idle, 1);
 }
 
 /// The KV store keeps these parts and the engines none, by their events.
-fn hears(daemon: &mut Daemon, now: Time, parts: &[u64]) {
-    daemon.node.apply(now, stored("1", parts, 1));
+fn receive_events(daemon: &mut Daemon, now: Time, parts: &[u64]) {
+    daemon.node.apply(now, store_events("1", parts, 1));
     let nothing = EventsRead { epoch: 1, next: 0, lost: false, changes: Vec::new() };
     let engines: Vec<server::Key> = daemon.node.servers.keys().collect();
     for engine in engines {
@@ -313,14 +325,14 @@
 }
 
 #[test]
-fn fetch_from_the_kv_store_takes_as_long_as_others_were_seen_to_take() {
+fn fetch_cost_from_the_kv_store_follows_measured_times() {
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let mut fetched = Vec::new();
     for step in 0..30_u64 {
         // Events are read all the while: the store holds everything, the engine nothing.
         let now = ms(9_000 + step * 400);
-        hears(&mut daemon, now, &[7, step]);
+        receive_events(&mut daemon, now, &[7, step]);
         let (request, effects) = daemon.arrive(now, &route, Some(prompt(7, step)));
         let from_store = dispatch(&effects).fetch_from == Some(address(200));
         fetched.push(from_store);
@@ -333,15 +345,15 @@
     let late = fetched[2..].iter().filter(|from_store| **from_store).count();
     assert!(late < 10, "{late} of 28 were fetched over a link with a queue of a second");
     // Seconds later the link is tried again.
-    hears(&mut daemon, ms(90_000), &[7, 99]);
+    receive_events(&mut daemon, ms(90_000), &[7, 99]);
     assert_eq!(send(&mut daemon, ms(90_000), None, 99).fetch_from, Some(address(200)));
 }
 
 #[test]
-fn kv_store_in_another_zone_takes_twice_its_link() {
+fn kv_store_in_another_zone_charges_its_link_twice() {
     let sent_by = |engine: (&str, &str)| {
         let mut daemon = Daemon::with(1, &[engine]);
-        daemon.node.apply(ms(900), stored("1", &[], 1));
+        daemon.node.apply(ms(900), store_events("1", &[], 1));
         daemon.tick(ms(1_000));
         let send = |subject: u64| send(&mut daemon, ms(2_000), None, subject).save_to.is_some();
         (0..50).map(send).filter(|saved| *saved).count()
