--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under the id that they had.
+//! Servers that restart under the same id.
 
 use super::world::*;
 use crate::fleet::*;
@@ -22,10 +22,10 @@
     assert_eq!(dispatch(&effects).server, "e-1");
     daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     let (_, effects) = daemon.arrive(ms(30), &route, Some(prompt(7, 1)));
-    assert!(commands(&effects).is_empty(), "it failed a moment ago");
+    assert!(commands(&effects).is_empty(), "the only server is in backoff");
     let effects = daemon.put(ms(40), Topic::Servers, &[NEXT]);
     assert!(effects.contains(&Effect::Disconnect(address(21))), "{effects:?}");
-    assert_eq!(dispatch(&effects).server, "e-1", "its pause ended with its former life");
+    assert_eq!(dispatch(&effects).server, "e-1", "the backoff ends with the former incarnation");
     assert_eq!(metric_values(&mut daemon, ms(41), "running"), ["1"]);
     assert_eq!(metric_values(&mut daemon, ms(41), "failures_in_a_row"), ["0"]);
 }
@@ -37,7 +37,7 @@
     daemon.put(ms(10), Topic::Servers, &[("e-1", "engine 99 draining 1 born:1000")]);
     let (_, effects) = daemon.arrive(ms(20), &route, Some(prompt(7, 1)));
     assert_eq!(dispatch(&effects).address, address(21));
-    // Nor once its registration is gone.
+    // The same holds after its registration is removed.
     daemon.put(ms(30), Topic::Servers, &[("e-1", "")]);
     daemon.put(ms(40), Topic::Servers, &[FORMER]);
     let (_, effects) = daemon.arrive(ms(50), &route, Some(prompt(7, 1)));
@@ -108,21 +108,24 @@
             effects.extend(daemon.node.apply(ms(now), message));
         }
         if expected_counts.len() == 1 && now % 200 == 0 {
-            // It restarts while it loads; its own report says so before its registration does.
+            // It restarts while it loads weights; its status reports that before its registration does.
             let weights = BTreeMap::from([("m".to_owned(), 1)]);
             let state = State { weights, busy: false, sequence: 0, born: 2_000 };
-            let server = key.expect("it was ordered");
+            let server = key.expect("an order names its server");
             daemon.node.apply(ms(now), Message::Polled(server, Some(state)));
         }
     }
-    assert_eq!(expected_counts, [0, 0], "each life has taken no order before its first");
+    assert_eq!(expected_counts, [0, 0], "each incarnation has accepted no order before its first");
 }
 
 #[test]
 fn report_of_the_former_incarnation_changes_nothing() {
     let mut daemon = Daemon::with(1, &[FORMER, NEXT]);
-    let key =
-        daemon.node.incarnations.server(&Incarnation::new("e-1", 2_000)).expect("it is known");
+    let key = daemon
+        .node
+        .incarnations
+        .server(&Incarnation::new("e-1", 2_000))
+        .expect("the newest incarnation is registered");
     let weights = BTreeMap::from([("m".to_owned(), 9)]);
     let state = State { weights, busy: false, sequence: 4, born: 1_000 };
     daemon.node.apply(ms(10), Message::Polled(key, Some(state)));
--- a/src/fleet/tests/poison.rs
+++ b/src/fleet/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end servers, and those that only ran beside them.
+//! Requests that crash servers, and requests that only ran beside them.
 
 use super::site::Site;
 use super::world::*;
@@ -13,7 +13,7 @@
     (0..count).map(|n| (format!("e-{n}"), format!("engine {} ready 1", 100 + n))).collect()
 }
 
-/// Daemons before a number of engines.
+/// A site of `daemons` daemons and `count` engines.
 fn site(daemons: u8, count: u8) -> Site {
     let engines = engines(count);
     let engines: Vec<(&str, &str)> =
@@ -21,13 +21,13 @@
     Site::new(daemons, &engines)
 }
 
-/// A request comes to a daemon for a pool; its key.
+/// Sends a request with this fingerprint to a daemon; returns its key.
 fn send_request(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> Key {
     site.daemons[daemon].fingerprint = fingerprint;
     site.arrive(daemon, "engines", Repeat::AtMostOnce)
 }
 
-/// Where a request is sent next that was just told to go on, past servers that have ended.
+/// The next dispatch of a request to a running server; dispatches to ended servers fail as unsent.
 fn next_live_dispatch(site: &mut Site, daemon: usize, key: Key) -> Option<Dispatch> {
     loop {
         let commands = site.commands(daemon, key);
@@ -39,7 +39,7 @@
     }
 }
 
-/// A request ends the server that it is sent to; false where it is sent to none.
+/// Sends a request that crashes its server; returns false if it is sent to none.
 fn crashes_a_server(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> bool {
     let key = send_request(site, daemon, fingerprint);
     let Some(dispatch) = next_live_dispatch(site, daemon, key) else { return false };
@@ -62,7 +62,7 @@
         let mut site = site(daemons, 8);
         let count = usize::from(daemons);
         let ended = (0..8).filter(|n| crashes_a_server(&mut site, n % count, CRASHING)).count();
-        assert_eq!(ended, 3, "servers that it ended before {daemons} daemons");
+        assert_eq!(ended, 3, "crashed servers at {daemons} daemons");
         for daemon in 0..count {
             let key = send_request(&mut site, daemon, CRASHING);
             let code = refusal(&mut site, daemon, key);
@@ -73,10 +73,10 @@
     }
 }
 
-/// Before three daemons and a store that was down, a request ended four servers where it is to be blocked after
-/// three. A server that ends may break its connections a moment before it stops to listen: the look that followed
-/// the break at once was accepted, no other was taken, and no registration told of the end, so that it counted for
-/// nothing. With the listening kept up for 20 ms no end counted, and six servers ended by six tries.
+/// A crashing server may break its connections a moment before it closes its listening port: a probe 0.87 ms after
+/// the break was still accepted. If no further probe follows and the store is down, the crash counts for nothing:
+/// one request crashed four servers instead of three. With the port open for 20 ms, no crash counted, and six
+/// attempts crashed six servers.
 ///
 /// ```text
 /// servers that it ended: {(502, Some("3001")), (503, Some("2010"))}: left: 4, right: 3
@@ -94,7 +94,7 @@
         site.ended.insert(dispatch.address);
         site.pass(ms(400));
     }
-    assert_eq!(ended, 3, "servers that it ended");
+    assert_eq!(ended, 3, "crashed servers");
 }
 
 #[test]
@@ -128,7 +128,8 @@
         let key = send_request(&mut site, 0, CRASHING);
         let sent = site.sent(0, key);
         let last = sent.address.ip().to_string().rsplit('.').next().map(str::to_owned);
-        let value = format!("engine {} draining 1", last.expect("it has four numbers"));
+        let value =
+            format!("engine {} draining 1", last.expect("an IPv4 address has four numbers"));
         let now = site.now;
         site.daemons[0].put(now, Topic::Servers, &[(&sent.server, &value)]);
         site.ended.insert(sent.address);
@@ -143,7 +144,7 @@
 fn request_that_was_answered_since_is_not_blocked() {
     let mut site = site(3, 8);
     for n in 0..6 {
-        assert!(crashes_a_server(&mut site, n % 3, CRASHING), "end {n}");
+        assert!(crashes_a_server(&mut site, n % 3, CRASHING), "crash {n}");
         let key = send_request(&mut site, n % 3, CRASHING);
         let attempt = next_live_dispatch(&mut site, n % 3, key).expect("a server is left").attempt;
         site.report(n % 3, key, attempt, Report::Begun(Some(1)));
@@ -174,7 +175,7 @@
     let attempt = next_live_dispatch(&mut site, 1, answered).expect("a server is left").attempt;
     site.report(1, answered, attempt, Report::Begun(Some(1)));
     assert!(crashes_a_server(&mut site, 0, CRASHING));
-    assert_eq!(site.commands(2, running), [Command::GiveUp], "it may have run");
+    assert_eq!(site.commands(2, running), [Command::GiveUp], "the request may have run");
     assert_eq!(site.commands(1, answered), []);
 }
 
@@ -194,7 +195,7 @@
             ended += 1;
         }
     }
-    assert_eq!(ended, 3, "servers that it ended");
+    assert_eq!(ended, 3, "crashed servers");
 }
 
 #[test]
@@ -215,18 +216,18 @@
             told.node.apply(ms(10), Message::Frame(frame));
         }
     }
-    assert!(blocked(&mut told, ms(20)), "a digest tells of blocks that are not written");
-    assert!(site.written.contains(&(CRASHING, true)), "a scheduler has it written");
+    assert!(blocked(&mut told, ms(20)), "a digest carries blocks that are not in the store");
+    assert!(site.written.contains(&(CRASHING, true)), "a scheduler writes the block to the store");
     let mut read = Daemon::with(8, &[]);
     let record = format!("blocked {}", CRASHING.0);
     read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
-    assert!(blocked(&mut read, ms(20)), "the store tells of it");
+    assert!(blocked(&mut read, ms(20)), "the store carries the block");
     read.put(ms(30), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), "")]);
-    assert!(!blocked(&mut read, ms(40)), "operators may take it away");
+    assert!(!blocked(&mut read, ms(40)), "an operator can remove the block from the store");
 }
 
-/// A daemon counted the day of a block from when it read the record, so that daemons that all started again at some
-/// time of that day held it for another.
+/// Guards against counting the day of a block from the read of its record: daemons that all restarted during that
+/// day then kept the block for another day.
 #[test]
 fn stored_block_expires_a_day_after_it_was_made() {
     let hour = Duration::from_secs(3_600);
@@ -241,12 +242,12 @@
             "{hours} h old when it was read"
         );
         let removed = effects.iter().any(|e| matches!(e, Effect::WriteBlock(CRASHING, None)));
-        assert_eq!(removed, !is_blocked, "it is taken away from the store");
+        assert_eq!(removed, !is_blocked, "an expired block is removed from the store");
     }
 }
 
-/// Of two daemons that let a block lapse at other moments, the first had it back from the other's digest for another
-/// day, and gave it back in its turn.
+/// Guards against blocks that never expire: if two daemons drop a block at different times, the first one must not
+/// adopt it for another day from the other's digest.
 #[test]
 fn block_exchanged_by_daemons_expires_after_a_day() {
     let hour = Duration::from_secs(3_600);
@@ -267,7 +268,7 @@
         blocked_at_daemons
             .push([0, 1].map(|n: usize| site.daemons[n].node.poison.is_blocked(CRASHING)));
     }
-    assert_eq!(blocked_at_daemons.first(), Some(&[true, true]), "a digest tells of it");
+    assert_eq!(blocked_at_daemons.first(), Some(&[true, true]), "a digest carries the block");
     assert_eq!(blocked_at_daemons.last(), Some(&[false, false]), "{blocked_at_daemons:?}");
 }
 
@@ -279,7 +280,7 @@
     }
     site.pass(ms(9_000));
     let tries = site.written.len();
-    assert!((3..=15).contains(&tries), "{tries} writes in nine seconds of an outage");
+    assert!((3..=15).contains(&tries), "{tries} writes in an outage of nine seconds");
     let record = format!("blocked {}", CRASHING.0);
     let now = site.now;
     for daemon in &mut site.daemons {
@@ -300,7 +301,11 @@
         let key = send_request(&mut site, round, CRASHING);
         let sent = site.sent(round, key);
         site.pass(ms(1_500));
-        let n = servers.iter().find(|(id, _)| *id == sent.server).expect("it is one of them").1;
+        let n = servers
+            .iter()
+            .find(|(id, _)| *id == sent.server)
+            .expect("the request went to one of the servers")
+            .1;
         let value = format!("engine {n} ready 1 born:{}", 6 + round);
         let now = site.now;
         for daemon in 0..3 {
@@ -310,7 +315,7 @@
             }
         }
         site.apply(round, Message::Leave(key));
-        // It runs for seconds: only where servers end seldom it is no chance that it is at each end.
+        // The request runs for seconds: only if crashes are rare is its presence at each one no coincidence.
         site.pass(ms(30_000));
     }
     let key = send_request(&mut site, 0, CRASHING);
--- a/src/fleet/tests/quotas.rs
+++ b/src/fleet/tests/quotas.rs
@@ -1,9 +1,9 @@
-//! Workspaces that ask for more than their quota, before daemons that come and go, and the ones beside them.
+//! Workspaces with more demand than their quota, and others beside them, while daemons fail and restart.
 //!
-//! A workspace had 1,949,366 tokens run in eight seconds where 1,928,475 were allowed, on a day without any crowd:
-//! nobody counted. What is held here against what servers were sent, by a log that shares nothing with what counts:
-//! no window has more than the quota allows, whoever is cut off, ends or starts; and who stays within its quota is
-//! refused next to nothing.
+//! These tests guard against uncounted use: without accounting, a workspace ran 1,949,366 tokens in eight seconds
+//! where 1,928,475 were allowed. The runs are recorded independently of the code under test. No window may have
+//! more tokens than the quota allows, whichever daemons are partitioned, end or start, and a workspace within its
+//! quota is hardly refused.
 
 use super::site::Site;
 use super::world::*;
@@ -12,7 +12,7 @@
 use crate::quota::{Quota, Unit};
 use crate::route::{Repeat, Workspace};
 
-/// Time between two looks at the world.
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(20);
 /// The window in which runs are counted.
 const WINDOW: Duration = Duration::from_secs(8);
@@ -20,27 +20,27 @@
 const REQUEST_TOKENS: u64 = 9_013;
 /// Engines of the pool.
 const ENGINE_COUNT: u8 = 24;
-/// What the workspaces may have: some eleven such requests a second.
+/// Quota of each workspace: about eleven such requests a second.
 const QUOTA: Quota = Quota { rate: 100_000, burst: 100_000, unit: Unit::Tokens { plain: 200 } };
-/// Tokens that may run in a window: a tenth more than the quota, and 110,000.
+/// Maximum tokens in a window: a tenth more than the quota, plus 110,000.
 const MAX_WINDOW_TOKENS: u64 = (8 + 1) * 110_000 + 110_000;
 
-/// What befalls the daemons, some seconds after traffic begins.
+/// Fault of the daemons, some seconds after traffic begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// The keeper ends and starts again.
+    /// The keeper ends and restarts.
     KeeperEnds,
-    /// All end within a second.
+    /// All daemons end and restart at different times.
     AllEnd,
-    /// Half of them are cut from the others.
+    /// The daemons are partitioned into two halves.
     Partition,
-    /// The others no longer hear the keeper.
+    /// Messages from the keeper are lost.
     KeeperOutboundCut,
-    /// The keeper hears nobody.
+    /// Messages to the keeper are lost.
     KeeperInboundCut,
-    /// Some are each cut from all others.
+    /// Some daemons are each cut from all others.
     IsolatedDaemons,
-    /// The keeper stands still and goes on.
+    /// The keeper pauses and resumes.
     KeeperPauses,
 }
 
@@ -54,7 +54,7 @@
     Fault::KeeperPauses,
 ];
 
-/// One workspace, and how often it asks for what it may have.
+/// Demand of one workspace, as a multiple of its quota.
 #[derive(Debug)]
 struct Demand {
     name: &'static str,
@@ -70,7 +70,7 @@
         Self { name, load_factor, sent: 0, refused: 0, runs: Vec::new() }
     }
 
-    /// Tokens of the window that has most.
+    /// Maximum tokens that began in one window.
     fn max_window_tokens(&self) -> u64 {
         let within = |first: &Time| {
             self.runs.iter().filter(|run| (*first..*first + WINDOW).contains(run)).count() as u64
@@ -84,12 +84,12 @@
     rng: fastrand::Rng,
     servers: Vec<(String, String)>,
     demands: Vec<Demand>,
-    /// Requests under way: of whom, and when they end.
+    /// Open requests: index of the demand, attempt, and end of the run.
     open_requests: BTreeMap<(usize, Key), (usize, u32, Time)>,
     subject: u64,
-    /// Daemons to start again, and when.
+    /// Pending restarts: time, and index of the daemon.
     starts: Vec<(Time, usize)>,
-    /// When what stands still or is cut goes on.
+    /// End of the current partition or pause.
     fault_ends_at: Time,
 }
 
@@ -267,7 +267,7 @@
             hot.max_window_tokens()
         );
         let ran = hot.runs.len() as u64 * REQUEST_TOKENS;
-        assert!(ran >= 20 * QUOTA.rate, "{daemons} daemons: it was let in {ran} tokens in 20 s");
+        assert!(ran >= 20 * QUOTA.rate, "{daemons} daemons: only {ran} tokens ran in 20 s");
     }
 }
 
@@ -283,7 +283,7 @@
     }
 }
 
-/// Seeds that are played here; more by hand with `QUOTA_SEEDS`.
+/// Number of seeds; `QUOTA_SEEDS` sets another number.
 fn seeds(default: u64) -> u64 {
     std::env::var("QUOTA_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(default)
 }
--- a/src/fleet/tests/requests.rs
+++ b/src/fleet/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: what is sent again, what is refused, and what is given up.
+//! Requests: which ones are retried, refused or given up.
 
 use super::world::*;
 use crate::fleet::*;
@@ -101,14 +101,14 @@
             }
             [Command::Refuse(_, after)] => {
                 assert!(*after > Duration::ZERO);
-                assert!((2..=6).contains(&attempts), "it was sent {attempts} times");
+                assert!((2..=6).contains(&attempts), "the request was sent {attempts} times");
                 return;
             }
             [] => effects = daemon.tick(now),
-            other => panic!("neither sent nor refused: {other:?}"),
+            other => panic!("expected a dispatch or a refusal, not {other:?}"),
         }
     }
-    panic!("it was neither served nor refused");
+    panic!("the request was neither served nor refused within 5 s");
 }
 
 #[test]
@@ -183,7 +183,7 @@
 fn broken_stream_waits_for_the_retry_budget() {
     let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1"), ("e-2", "engine 22 ready 1")]);
     let resumable = route("engines", Repeat::Resumable, 2);
-    // Repeats that use the budget of the window up to 11.0 s.
+    // Retries that exhaust the budget of the window until 11.0 s.
     for _ in 0..200 {
         let (request, _) = daemon.arrive(ms(1_000), &resumable, Some(prompt(1, 2)));
         daemon.report(ms(1_000), request, 1, Report::Failed);
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Which servers get work: leaving, lapsed, returned, and those that hold a prompt's parts.
+//! Selection of servers: registration states, residency of prompt parts, load, and the KV store.
 
 use super::world::*;
 use crate::fleet::*;
@@ -114,13 +114,13 @@
     daemon.node.apply(ms(900), store_events("1", &[], 1));
     let first = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(first.save_to, Some(address(200)));
-    // It is on its way, so the next one does not send it again.
+    // The parts are being saved, so the next request does not save them again.
     assert_eq!(send(&mut daemon, ms(2_100), None, 3).save_to, None);
     daemon.node.apply(ms(2_500), store_events("1", &[7, 3], 1));
     daemon.node.apply(ms(8_900), store_events("1", &[], 1));
     let kept = send(&mut daemon, ms(9_000), None, 3);
     assert_eq!((kept.fetch_from, kept.save_to), (Some(address(200)), None));
-    // A store that has started again keeps nothing.
+    // A restarted store is empty.
     daemon.node.apply(ms(9_500), store_events("1", &[], 2));
     assert_eq!(send(&mut daemon, ms(10_000), None, 3).save_to, Some(address(200)));
 }
@@ -145,8 +145,8 @@
     let sent = (0..200)
         .filter(|subject| send(&mut daemon, ms(2_000), None, *subject).save_to.is_some())
         .count();
-    // 9,000 tokens of 163,840 bytes each, over a link of 47 GB a second that is this daemon's alone; a
-    // first token waits for no more than a fifth of a second of them.
+    // 9,000 tokens of 163,840 bytes each, over a link of 47 GB/s that only this daemon uses; saves may
+    // delay a first token by a fifth of a second at most.
     assert!((4..=6).contains(&sent), "{sent} prompts of 1.47 GB were sent at once");
 }
 
@@ -161,13 +161,13 @@
             sent.push(request);
         }
     }
-    // Each leaves 2,700 tokens to be read, about 54 ms; half of the target is 300 ms.
+    // Each has 2,700 uncached tokens, about 54 ms of prefill; half of the target is 300 ms.
     assert!((4..=7).contains(&sent.len()), "{} prompts were queued at one engine", sent.len());
-    // One that has begun makes room.
+    // A begun answer frees room.
     let effects = daemon.report(ms(80), sent[0], 1, Report::Begun(Some(1)));
     assert!(commands(&effects).is_empty());
     assert_eq!(commands(&daemon.tick(ms(100))).len(), 1);
-    // What does not find room in half of its target is told to come back.
+    // Requests without room after half of their target are refused.
     let refused = commands(&daemon.tick(ms(400)));
     assert!(!refused.is_empty());
     assert!(refused.iter().all(|command| matches!(command, Command::Refuse(..))), "{refused:?}");
@@ -199,11 +199,11 @@
         sent.extend(to);
     }
     assert!(sent.contains(&home));
-    assert!(sent.len() < ENGINES.len(), "every engine reads the same parts: {sent:?}");
+    assert!(sent.len() < ENGINES.len(), "every engine computes the same parts: {sent:?}");
     daemon.node.apply(ms(30), Message::Leave(first));
 }
 
-/// Sixteen engines with weights 1.
+/// Registrations of sixteen engines with weights 1.
 fn sixteen_engines() -> Vec<(String, String)> {
     (1..=16).map(|n| (format!("e-{n:02}"), format!("engine {} ready 1", 20 + n))).collect()
 }
@@ -215,7 +215,7 @@
     Daemon::with(last, &engines)
 }
 
-/// A peer tells of its work.
+/// Delivers a digest of the peer `last` with its load and heat.
 fn receive_digest(
     daemon: &mut Daemon,
     now: Time,
@@ -242,7 +242,7 @@
     let spilled = send(&mut daemon, ms(30), None, 3);
     assert_ne!(spilled.server, home.server);
     assert_eq!(spilled.fetch_from, Some(home.address));
-    // Once there is room it is the home again; a peer that fell silent no longer counts.
+    // The load of a silent peer no longer counts, so the home has room again.
     daemon.tick(ms(4_990));
     assert_eq!(send(&mut daemon, ms(5_000), None, 3).server, home.server);
 }
@@ -283,7 +283,7 @@
     for last in 2..8 {
         receive_digest(&mut daemon, ms(20), last, &[], &heat);
     }
-    // 600 ms of work a second want more than two engines.
+    // 600 ms of work per second need more than two engines.
     let mut homes = BTreeSet::from([first.server]);
     let route = route("engines", Repeat::Resumable, 2);
     for n in 0..12 {
@@ -313,7 +313,7 @@
     assert_eq!(send(&mut many, ms(30), None, 3).most_idle, 1);
 }
 
-/// The KV store keeps these parts and the engines none, by their events.
+/// Delivers events by which the KV store has these parts and the engines have none.
 fn receive_events(daemon: &mut Daemon, now: Time, parts: &[u64]) {
     daemon.node.apply(now, store_events("1", parts, 1));
     let nothing = EventsRead { epoch: 1, next: 0, lost: false, changes: Vec::new() };
@@ -330,21 +330,21 @@
     let route = route("engines", Repeat::Resumable, 2);
     let mut fetched = Vec::new();
     for step in 0..30_u64 {
-        // Events are read all the while: the store holds everything, the engine nothing.
+        // Events report that the store has all parts, and the engine none.
         let now = ms(9_000 + step * 400);
         receive_events(&mut daemon, now, &[7, step]);
         let (request, effects) = daemon.arrive(now, &route, Some(prompt(7, step)));
         let from_store = dispatch(&effects).fetch_from == Some(address(200));
         fetched.push(from_store);
-        // Whatever is fetched waits for a second; what is read does not.
+        // A fetch delays the first token by a second; computing the parts does not.
         let took = if from_store { 1_000 } else { 150 };
         daemon.report(now + ms(took), request, 1, Report::Begun(Some(1)));
         daemon.report(now + ms(took), request, 1, Report::Ended);
     }
-    assert!(fetched[0], "nothing was seen of the link yet");
+    assert!(fetched[0], "before the first measurement, parts are fetched");
     let late = fetched[2..].iter().filter(|from_store| **from_store).count();
-    assert!(late < 10, "{late} of 28 were fetched over a link with a queue of a second");
-    // Seconds later the link is tried again.
+    assert!(late < 10, "{late} of 28 prompts were fetched over a link with a delay of 1 s");
+    // After a pause, the link is tried again.
     receive_events(&mut daemon, ms(90_000), &[7, 99]);
     assert_eq!(send(&mut daemon, ms(90_000), None, 99).fetch_from, Some(address(200)));
 }
