--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -123,7 +123,7 @@
             self.waiting.insert(Position::of(key, request));
             self.drains.entry(request.pool.clone()).or_default().note_waiting(now);
             self.send_queued(key);
-            self.log_waits(now, key);
+            self.log_waiting(now, key);
         }
     }
 
@@ -235,7 +235,7 @@
             self.expected.record(now, fingerprint);
         }
         self.command(key, command);
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// Retry-after time of a request: the time in which the servers of its pool that accept work
--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -1,5 +1,4 @@
-//! What is logged and counted of the decisions on a request: the inputs that led to each, how old they
-//! are, and the outcome.
+//! Log events for the decisions on a request: the inputs of each decision, their age, and the outcome.
 
 use super::place::Choice;
 use super::request::{Phase, Request};
@@ -7,31 +6,31 @@
 use crate::prelude::*;
 
 impl Loss {
-    /// Why an attempt failed, for its log line.
+    /// The reason of a failed attempt, for its log line.
     pub(super) const fn reason(self) -> &'static str {
         match self {
-            Self::Connection => "no whole answer came: its connection ended",
-            Self::InvalidAnswer => "no whole answer came: what came is none",
+            Self::Connection => "the connection ended before the answer was complete",
+            Self::InvalidAnswer => "the response is no valid answer",
         }
     }
 }
 
 impl Node {
-    /// The request and its route, with which every line on a request begins.
-    fn about(request: &Request) -> Detail {
+    /// Starts the detail of each event on a request: the request and its route.
+    fn request_detail(request: &Request) -> Detail {
         Detail::of("request", request.arrival.id.as_str())
             .and("route", request.arrival.route.name.as_str())
     }
 
-    /// The same, with the request's newest attempt and the server that it went to.
-    fn about_attempt(&self, request: &Request, server: server::Key) -> Detail {
+    /// Starts the detail of an event on the request's newest attempt, with its server.
+    fn attempt_detail(&self, request: &Request, server: server::Key) -> Detail {
         let id = self.servers.get(server).map_or("", |server| server.entry.incarnation.id.as_str());
-        Self::about(request).and("attempt", request.sends).and("server", id)
+        Self::request_detail(request).and("attempt", request.sends).and("server", id)
     }
 
-    /// How old what this daemon goes by is: the configuration's version, and for how long the store
-    /// has not told of servers.
-    fn beliefs(&self, now: Time, detail: Detail) -> Detail {
+    /// Adds the version of the configuration, and the time for which servers could not be read from
+    /// the store.
+    fn with_data_ages(&self, now: Time, detail: Detail) -> Detail {
         let table = self.table.as_ref().map_or(0, |table| table.version());
         let unread = self.unread_since.get(&Dependency::Topic(Topic::Servers));
         detail
@@ -44,7 +43,7 @@
         let Some(request) = self.requests.get(&key) else { return };
         let Some(server) = self.servers.get(choice.server) else { return };
         let load = self.load(choice.server, server);
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("attempt", request.sends)
             .and("server", server.entry.incarnation.id.as_str())
             .and("address", server.entry.address)
@@ -62,14 +61,14 @@
             .and("home", choice.is_home)
             .and_some("fetch_from", choice.fetch_from)
             .and("save", choice.save_to.is_some());
-        let detail = self.beliefs(now, detail);
+        let detail = self.with_data_ages(now, detail);
         self.event(Event::AttemptSent, detail);
     }
 
-    /// Logs where a request goes that a scheduler placed.
+    /// Logs the placement of a request by a scheduler.
     pub(super) fn log_assigned(&mut self, now: Time, key: Key, dispatch: &Dispatch) {
         let Some(request) = self.requests.get(&key) else { return };
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("attempt", dispatch.attempt)
             .and("scheduler", request.scheduler.as_str())
             .and("server", dispatch.server.as_str())
@@ -80,18 +79,18 @@
         self.event(Event::AttemptSent, detail);
     }
 
-    /// For how long newer weights than those that a request is sent to have been named, as this daemon
-    /// believes.
+    /// Time since newer weights than those chosen for the request were named, as far as this daemon
+    /// knows.
     fn overtaken(&self, now: Time, request: &Request, weights: Option<u64>) -> Option<Duration> {
         let prompt = request.arrival.prompt.as_ref()?;
         self.superseded_for(now, &prompt.model, weights?)
     }
 
-    /// Logs that the answer to a request began that was sent at time `at`.
+    /// Logs the begin of the answer to a request that was sent at time `at`.
     pub(super) fn log_begun(&mut self, now: Time, key: Key, at: Time) {
         let Some(request) = self.requests.get(&key) else { return };
         if request.origin.is_some() {
-            // The daemon that has it says so.
+            // The daemon that received the request logs this.
             return;
         }
         let waited = now.saturating_sub(at);
@@ -99,17 +98,17 @@
         self.event(Event::AnswerBegun, detail);
     }
 
-    pub(super) fn log_waits(&mut self, now: Time, key: Key) {
+    pub(super) fn log_waiting(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let servers = self.pools.get(&request.pool).map(Vec::as_slice).unwrap_or_default();
         let usable = servers.iter().filter_map(|key| self.servers.get(*key));
         let usable = usable.filter(|server| server.is_usable(now)).count();
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("waiting", self.waiting.len())
             .and("servers", servers.len())
             .and("usable", usable)
             .and("sends", request.sends);
-        let detail = self.beliefs(now, detail);
+        let detail = self.with_data_ages(now, detail);
         self.event(Event::RequestWaits, detail);
     }
 
@@ -120,7 +119,7 @@
             Phase::Waiting(since) => now.saturating_sub(since),
             Phase::Submitted(_) | Phase::Sent { .. } => Duration::ZERO,
         };
-        let detail = Self::about(request)
+        let detail = Self::request_detail(request)
             .and("code", u32::from(code.row().number))
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("sends", request.sends)
@@ -128,15 +127,15 @@
             .and("waited_ms", waited)
             .and("waiting", self.waiting.len())
             .and("retry_after_ms", after);
-        let detail = self.beliefs(now, detail);
+        let detail = self.with_data_ages(now, detail);
         self.event(Event::RequestRefused, detail);
     }
 
-    /// Logs an attempt that failed, and what its request does next.
+    /// Logs a failed attempt, and whether its request may be repeated.
     pub(super) fn log_failed(&mut self, key: Key, server: server::Key, reason: &str) {
         let Some(request) = self.requests.get(&key) else { return };
         let detail = self
-            .about_attempt(request, server)
+            .attempt_detail(request, server)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("reason", reason)
             .and("runs", request.possible_runs)
@@ -147,21 +146,23 @@
     pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refusal) {
         let Some(request) = self.requests.get(&key) else { return };
         let (reason, weights) = match refused {
-            Refusal::Busy => ("it has no room, or is leaving or loading", None),
-            Refusal::Replaced => ("another server has its address", None),
-            Refusal::WrongWeights(version) => ("its weights are of another version", version),
+            Refusal::Busy => ("the server is full, draining or loading weights", None),
+            Refusal::Replaced => ("another server has the address", None),
+            Refusal::WrongWeights(version) => {
+                ("the server has weights of another version", version)
+            }
         };
         let detail =
-            self.about_attempt(request, server).and("reason", reason).and_some("weights", weights);
+            self.attempt_detail(request, server).and("reason", reason).and_some("weights", weights);
         self.event(Event::AttemptRefused, detail);
     }
 
-    /// Logs that a request that had been sent is taken back; `event` tells why.
-    pub(super) fn log_taken_back(&mut self, event: Event, now: Time, key: Key) {
+    /// Logs the withdrawal of a sent request; `event` gives the reason.
+    pub(super) fn log_withdrawn(&mut self, event: Event, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let Phase::Sent { server, sent_at: at, .. } = request.phase else { return };
         let detail = self
-            .about_attempt(request, server)
+            .attempt_detail(request, server)
             .and("sent_ms_ago", now.saturating_sub(at))
             .and_some("weights", request.weights_version);
         self.event(event, detail);
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -202,7 +202,7 @@
             sent_at: now,
             named: self.rollout.own_namings.recent(now, self.policy.weights_limit),
             caught_up_age: self.rollout.complete_until.map(|at| now.saturating_sub(at)),
-            quota_keeper: self.quota_leadership.name().to_owned(),
+            quota_keeper: self.quota_leadership.keeper_id().to_owned(),
             quota_use: self.quota.recent_usage(now),
         }
     }
@@ -217,7 +217,7 @@
             Frame::Submission(submission) => self.handle_submission(now, *submission),
             Frame::Progress(progress) => self.handle_progress(now, progress),
             Frame::Verdict(verdict) => self.handle_verdict(now, *verdict),
-            Frame::Poison(message) => self.poison_came(now, message),
+            Frame::Poison(message) => self.receive_poison_message(now, message),
             Frame::Fetch(daemon, topic, from) => self.send_records(&daemon, topic, from),
             Frame::Records(batch) => {
                 self.apply_from_peer(batch.topic, |node| node.apply_batch(now, batch, true));
@@ -281,14 +281,15 @@
             }
         }
         self.expected.merge_peer(now, &digest.refused);
-        self.hear_blocked(now, &digest.blocked);
-        self.hear_used(now, &digest);
+        self.merge_blocks(now, &digest.blocked);
+        self.record_peer_usage(now, &digest);
         // Refill first, so that the peer's transfers are deducted from the current budget and not
         // from that of the last send.
         self.refill_link(now);
         if let Some(peer) = self.peers.get_mut(&digest.daemon) {
             let last = peer.digest.as_ref().filter(|last| last.incarnation == digest.incarnation);
-            let moved = last.map(|last| digest.link_bytes_moved.saturating_sub(last.link_bytes_moved));
+            let moved =
+                last.map(|last| digest.link_bytes_moved.saturating_sub(last.link_bytes_moved));
             self.kv_link.deduct(moved.unwrap_or_default());
             let restarted =
                 peer.digest.as_ref().is_some_and(|last| last.incarnation != digest.incarnation);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions for requests that are passed on as they are: where each goes, what is tried again, which
-//! weights the engines load, and what daemons tell each other for it.
+//! Decisions for requests that are forwarded unchanged: placement, retries, the weights that engines
+//! load, and the state that daemons exchange for these decisions.
 //!
-//! [`Node`] is a deterministic state machine without I/O, as [`crate::control::Node`] is for the
+//! [`Node`] is a deterministic state machine without I/O, like [`crate::control::Node`] for the
 //! product's own interface.
 
 mod admission;
@@ -12,7 +12,7 @@
 mod frame;
 mod gossip;
 mod homes;
-mod incarnation;
+mod life;
 mod load;
 mod loading;
 mod message;
@@ -42,7 +42,7 @@
 pub use catalog::{Batch, Catalog, Record, Topic};
 pub use figures::Counts;
 pub use frame::{Digest, Frame, Malformed, Workload};
-pub use incarnation::Incarnation;
+pub use life::Incarnation;
 pub use message::{
     Arrival, Change, Command, Dependency, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read,
     Refusal, Report, State,
@@ -54,7 +54,7 @@
 pub use residency::{CacheEvent, EventBatch, Holder, Location, Update};
 pub use retry::Budget;
 #[cfg(test)]
-pub(crate) use run::Letter;
+pub(crate) use run::Input;
 pub use run::{Control, Fleet};
 pub use scheduling::{Assignment, Decision, Progress, Step, Submission, Verdict};
 pub use server::{Entry, Server};
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of workspaces: who keeps them, what is let in, and what daemons tell each other of their use.
+//! Quotas of workspaces: choice of the keeper, admission, and exchange of usage between daemons.
 
 use super::peer::{DIGEST_INTERVAL, Peer};
 use super::request::{Phase, Request};
@@ -6,97 +6,99 @@
 use crate::prelude::*;
 use crate::quota::{Demand, Quota, Rejection, Role};
 
-/// Time beyond two digests after which a daemon no longer lends its share: by then it may lend it to another.
-const LENT_FOR: Duration = Duration::from_millis(100);
-/// Time in which a keeper notices that others have gone to another.
-const TAKES_OVER: Duration = Duration::from_millis(1_100);
-/// Silence of a daemon after which it has no share where most are heard of: longer than cuts and restarts.
-const GONE_AFTER: Duration = Duration::from_secs(10);
+/// Time beyond two digest intervals after which a daemon's share no longer counts as lent: by then the daemon
+/// may lend it to another keeper.
+const LENDING_GRACE: Duration = Duration::from_millis(100);
+/// Time within which a keeper notices that daemons lend their shares to another.
+const KEEPER_TAKEOVER: Duration = Duration::from_millis(1_100);
+/// Silence after which a daemon has no share if most daemons are heard: longer than partitions and restarts.
+const PEER_SILENCE_MAX: Duration = Duration::from_secs(10);
 
-/// Who keeps the quotas, as this daemon sees it.
+/// Which daemon is the quota keeper, as this daemon sees it.
 #[derive(Debug, Default)]
-pub(super) struct Keeping {
-    /// The keeper's id; empty where none is known.
+pub(super) struct Leadership {
+    /// The keeper's id; empty if none is known.
     keeper: String,
-    /// Since when this daemon has been the keeper, where it is.
+    /// When this daemon became the keeper, if it is.
     since: Option<Time>,
-    /// Until when it counts only a part of what it is lent.
+    /// End of the takeover, during which the keeper counts only a part of the shares lent to it.
     taking_over_until: Time,
-    /// Requests that wait for a daemon that may let them in.
+    /// Requests that wait for a daemon that may admit them.
     pub(super) undecided: BTreeSet<Key>,
 }
 
-impl Keeping {
+impl Leadership {
     /// The keeper's id.
-    pub(super) fn name(&self) -> &str {
+    pub(super) fn keeper_id(&self) -> &str {
         &self.keeper
     }
 }
 
 impl Peer {
-    /// Whether it lends its share to the daemon `id`.
+    /// Whether this peer lends its share to the daemon `id`.
     fn lends_to(&self, now: Time, id: &str) -> bool {
-        self.is_told_of(now) && self.digest.as_ref().is_some_and(|digest| digest.quota_keeper == id)
+        self.has_fresh_digest(now)
+            && self.digest.as_ref().is_some_and(|digest| digest.quota_keeper == id)
     }
 
     /// Whether neither of its last two digests is overdue.
-    fn is_told_of(&self, now: Time) -> bool {
-        let lasts = |digest: &Digest| digest.interval * 2 + LENT_FOR;
-        let lasts = self.digest.as_ref().map(lasts);
-        self.heard_at.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
+    fn has_fresh_digest(&self, now: Time) -> bool {
+        let timeout = |digest: &Digest| digest.interval * 2 + LENDING_GRACE;
+        let timeout = self.digest.as_ref().map(timeout);
+        self.heard_at.zip(timeout).is_some_and(|(heard, timeout)| now < heard + timeout)
     }
 }
 
 impl Node {
-    /// Looks at who keeps the quotas and what this daemon may let in.
-    pub(super) fn look_at_quotas(&mut self, now: Time) {
+    /// Updates the keeper and this daemon's role, and retries undecided requests.
+    pub(super) fn update_quota_role(&mut self, now: Time) {
         let keeper = self.quota_keeper(now);
         if keeper != self.quota_leadership.keeper {
             let former = self.quota_leadership.keeper.as_str();
             let stopped = self.peers.get(former).is_some_and(Peer::is_draining);
-            // Who has just started lends its share for the first time, so nobody else counts it.
-            let wait = if former.is_empty() || stopped { Duration::ZERO } else { TAKES_OVER };
+            // A daemon that has just started lends its share for the first time: no other keeper counts it.
+            let wait = if former.is_empty() || stopped { Duration::ZERO } else { KEEPER_TAKEOVER };
             self.quota_leadership.taking_over_until = now + wait;
             self.quota_leadership.keeper = keeper;
             self.next_digest = self.next_digest.min(now + DIGEST_INTERVAL / 5);
         }
         let role = self.quota_role(now);
-        let keeps = matches!(role, Role::Keeper { .. });
-        self.quota_leadership.since = keeps.then(|| self.quota_leadership.since.unwrap_or(now));
+        let is_keeper = matches!(role, Role::Keeper { .. });
+        self.quota_leadership.since = is_keeper.then(|| self.quota_leadership.since.unwrap_or(now));
         self.quota.set_role(now, role);
-        self.look_at_undecided(now);
+        self.retry_undecided(now);
     }
 
-    /// Tries what waits for a daemon that may let it in once more.
-    fn look_at_undecided(&mut self, now: Time) {
+    /// Retries requests that wait for a daemon that may admit them.
+    fn retry_undecided(&mut self, now: Time) {
         for key in std::mem::take(&mut self.quota_leadership.undecided) {
             if let Some(request) = self.requests.get_mut(&key) {
                 request.submissions = 0;
             }
-            if !self.submit(now, key) && self.let_in(now, key) {
+            if !self.submit(now, key) && self.charge_quota(now, key) {
                 self.send_or_queue(now, key);
             }
         }
     }
 
-    /// Has a request wait a little for a daemon that may let it in, where this one hears of none: it could not know,
-    /// and right after a start others soon do. False once it has waited for that.
-    fn may_wait_undecided(&mut self, now: Time, key: Key) -> bool {
+    /// Makes a request wait briefly for a daemon that may admit it. If no scheduler is heard, this daemon can't
+    /// know the quota's use; right after a start, one soon appears. Returns false once the request has waited.
+    fn wait_for_keeper(&mut self, now: Time, key: Key) -> bool {
         let knows = !matches!(self.quota.role(), Role::Other { .. });
         let Some(request) = self.requests.get_mut(&key) else { return false };
         if knows || request.origin.is_some() || self.draining {
             return false;
         }
         let until = now + Self::max_wait(request);
-        let waits = now < *request.admission_deadline.get_or_insert(until);
-        if waits {
+        let may_wait = now < *request.admission_deadline.get_or_insert(until);
+        if may_wait {
             request.phase = Phase::Waiting(now);
             self.quota_leadership.undecided.insert(key);
         }
-        waits
+        may_wait
     }
 
-    /// The daemon that schedules for the engines, through which most tokens pass.
+    /// The keeper: the scheduler of the engines, through which most tokens pass.
     fn quota_keeper(&self, now: Time) -> String {
         let table = self.table.as_ref();
         let pool = table.and_then(|table| table.engine_pools().next()).unwrap_or_default();
@@ -113,38 +115,38 @@
             return Role::Other { daemons: self.daemon_count() };
         }
         let lenders = self.peers.values().filter(|peer| peer.lends_to(now, id)).count();
-        // Others notice first where the one before has ended, since their requests find it gone.
+        // Other daemons notice first that the former keeper has ended, since their requests to it fail.
         let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemon_count();
         if !is_keeper {
             let keeper = self.peers.get(&self.quota_leadership.keeper);
             return Role::Deputy {
-                hears_keeper: keeper.is_some_and(|keeper| keeper.is_told_of(now)),
+                hears_keeper: keeper.is_some_and(|keeper| keeper.has_fresh_digest(now)),
             };
         }
         let lent = (lenders + 1) as f64 / self.lending_daemons(now) as f64;
         let since = self.quota_leadership.since.unwrap_or(now);
-        let is_new = now < self.quota_leadership.taking_over_until.min(since + TAKES_OVER);
+        let is_new = now < self.quota_leadership.taking_over_until.min(since + KEEPER_TAKEOVER);
         Role::Keeper { lent: lent.min(1.0), is_new }
     }
 
-    /// Daemons that have a share. Where most are heard of, those that have been silent for long have none; on the
-    /// other side of a cut they are not most.
+    /// Number of daemons that have a share. If most daemons are heard, those that have long been silent have none;
+    /// on the other side of a partition, they are a minority.
     fn lending_daemons(&self, now: Time) -> usize {
         let daemons = self.daemon_count();
-        let gone = |peer: &&Peer| now >= peer.heard_at.unwrap_or_default() + GONE_AFTER;
-        let gone = self.peers.values().filter(gone).count();
-        let rest = daemons.saturating_sub(gone).max(1);
-        if rest * 2 > daemons { rest } else { daemons }
+        let is_silent = |peer: &&Peer| now >= peer.heard_at.unwrap_or_default() + PEER_SILENCE_MAX;
+        let silent = self.peers.values().filter(is_silent).count();
+        let heard = daemons.saturating_sub(silent).max(1);
+        if heard * 2 > daemons { heard } else { daemons }
     }
 
-    /// What a request's workspace may have run: by the table in force, or as the daemon that has it was told.
+    /// The quota of a request's workspace, from the table in force or else from the daemon that received the request.
     fn quota_of(&self, request: &Request) -> Option<Quota> {
         let workspace = request.arrival.workspace.as_ref()?;
         let own = self.table.as_ref().and_then(|table| table.quota(&workspace.name));
         own.or(workspace.quota)
     }
 
-    /// The workspace of a request and the units that one run of it counts as, where that is limited.
+    /// The workspace of a request, its quota, and the units of one run; `None` if the workspace has no quota.
     fn units(&self, key: Key) -> Option<(String, Quota, u64)> {
         let request = self.requests.get(&key)?;
         let quota = self.quota_of(request)?;
@@ -154,8 +156,8 @@
         Some((workspace.name.clone(), quota, quota.units(tokens)))
     }
 
-    /// Counts a request against its workspace's quota; where nothing is left it is refused, and false.
-    pub(super) fn let_in(&mut self, now: Time, key: Key) -> bool {
+    /// Charges a request to its workspace's quota. Returns false if the request is refused, or waits for a keeper.
+    pub(super) fn charge_quota(&mut self, now: Time, key: Key) -> bool {
         let Some((workspace, quota, units)) = self.units(key) else { return true };
         let Some(request) = self.requests.get(&key) else { return false };
         if request.possible_runs > 0 || request.charged_runs > 0 {
@@ -178,7 +180,7 @@
                 }
                 true
             }
-            Err(_) if self.may_wait_undecided(now, key) => false,
+            Err(_) if self.wait_for_keeper(now, key) => false,
             Err(over) => {
                 let after = self.with_jitter(over.retry_after.unwrap_or(longest / 2)).min(longest);
                 self.log_over_quota(key, &workspace, quota, units, over);
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Counts the run that is about to begin, where it is one more than was let in.
-    pub(super) fn count_run(&mut self, now: Time, key: Key) {
+    /// Charges the run that is about to begin, unless it is already charged.
+    pub(super) fn charge_run(&mut self, now: Time, key: Key) {
         let Some((workspace, _, units)) = self.units(key) else { return };
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.possible_runs >= request.charged_runs {
@@ -201,8 +203,8 @@
         }
     }
 
-    /// Gives back what was counted for a request that ends and did not run.
-    pub(super) fn give_back(&mut self, now: Time, key: Key) {
+    /// Refunds the charged runs of a request that ends without them.
+    pub(super) fn refund_quota(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
         let spare = u64::from(request.charged_runs.saturating_sub(request.possible_runs));
         if spare > 0
@@ -212,8 +214,8 @@
         }
     }
 
-    /// Takes over what a peer used. Daemons that do not schedule have no use for it.
-    pub(super) fn hear_used(&mut self, now: Time, digest: &Digest) {
+    /// Records the usage that a peer reports. Daemons that are no schedulers don't need it.
+    pub(super) fn record_peer_usage(&mut self, now: Time, digest: &Digest) {
         if !digest.quota_use.is_empty() && self.is_scheduler(now) {
             let table = self.table.clone();
             let quota = |workspace: &str| table.as_ref()?.quota(workspace);
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,6 +1,6 @@
 //! Applies records of the platform's store to the daemon's state.
 
-use super::incarnation::Known;
+use super::life::Known;
 use super::request::{Phase, Request};
 use super::{
     Batch, Change, Dependency, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic,
@@ -142,8 +142,8 @@
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
             Change::Router { id, address, cores } => self.register_peer(now, id, address, cores),
-            Change::Blocked(blocked) => self.block_kept(now, blocked),
-            Change::Unblocked(fingerprint) => self.block_gone(now, fingerprint),
+            Change::Blocked(blocked) => self.block_stored(now, blocked),
+            Change::Unblocked(fingerprint) => self.block_removed(now, fingerprint),
             Change::Nothing => {}
         }
     }
@@ -222,7 +222,7 @@
         let lost: Vec<Key> = attempts.into_iter().map(|(key, _)| key).filter(repeatable).collect();
         for key in lost {
             self.log_failed(key, former, "the server restarted");
-            self.repeat(now, key);
+            self.retry_or_give_up(now, key);
         }
     }
 
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -109,7 +109,8 @@
     /// Handles a peer's update from events that the peer reads.
     pub(in crate::fleet) fn handle_residency_update(&mut self, now: Time, update: &Update) {
         let Some(location) = self.location_of(&update.holder) else { return };
-        let is_reading = self.event_reads.get(&location).is_some_and(|poll| poll.started_at.is_some());
+        let is_reading =
+            self.event_reads.get(&location).is_some_and(|poll| poll.started_at.is_some());
         if is_reading {
             // Two daemons briefly read the same events during a handover; this daemon's own read is
             // newer.
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -1,6 +1,6 @@
 //! Rolls out new weights: the lease holder orders engines to load them, a limited number at a time.
 
-use super::incarnation::Known;
+use super::life::Known;
 use super::loading::Limiter;
 use super::naming::{Bound, Namings};
 use super::server::Order;
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -74,11 +74,11 @@
         }
         if let Some(known) = self.served.key(&origin.daemon, origin.request) {
             // The daemon has restarted and reuses its request keys.
-            self.forget(now, known);
+            self.remove_request(now, known);
         }
         let key = self.served.add(&origin.daemon, origin.request);
         let (pool, arrival) = arrival(now, key, submission);
-        self.take_in(now, arrival, pool, Some(origin));
+        self.accept(now, arrival, pool, Some(origin));
     }
 
     /// Tells the submitting daemon that its request waits here, for the first time or again. Daemons
@@ -94,7 +94,7 @@
     pub(in crate::fleet) fn handle_progress(&mut self, now: Time, progress: Progress) {
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
-            Step::Withdrawn => self.forget(now, key),
+            Step::Withdrawn => self.remove_request(now, key),
             Step::Report(report) => self.handle_report(now, key, progress.attempt, report),
         }
     }
@@ -148,7 +148,7 @@
         let waiting: Vec<(Key, Origin)> = waiting.collect();
         for (key, origin) in waiting {
             self.send_verdict(&origin, Decision::Return);
-            self.forget(now, key);
+            self.remove_request(now, key);
         }
     }
 
@@ -180,7 +180,7 @@
         });
         let dropped: Vec<Key> = dropped.map(|(key, _)| *key).collect();
         for key in dropped {
-            self.forget(now, key);
+            self.remove_request(now, key);
         }
     }
 }
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -109,7 +109,7 @@
         if !self.may_be_sent(now, key, server, assignment.weights_version) {
             return self.withdraw_from_scheduler(now, key);
         }
-        let most_idle = self.most_idle(key);
+        let most_idle = self.max_idle_connections(key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         request.sends += 1;
         request.possible_runs += 1;
@@ -173,7 +173,7 @@
             }
             Report::Ended => {
                 self.note_response(now, server);
-                self.was_served(now, key);
+                self.request_answered(now, key);
                 self.requests.remove(&key);
             }
             Report::Refused(refused) => {
@@ -232,7 +232,7 @@
             return;
         }
         self.effects.push(Effect::Command(key, Command::GiveUp));
-        self.forget(now, key);
+        self.remove_request(now, key);
     }
 
     /// Takes back requests whose scheduler did not reply in time or is gone.
@@ -281,7 +281,7 @@
         request.scheduler.clear();
         let Stage::Placed(Placement { server, prefill_tokens, begun, sent_at, .. }) = stage else {
             request.phase = Phase::Waiting(now);
-            if !self.submit(now, key) && self.let_in(now, key) {
+            if !self.submit(now, key) && self.charge_quota(now, key) {
                 self.send_or_queue(now, key);
             }
             return;
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -232,7 +232,7 @@
 #[test]
 fn retry_slack_of_all_daemons_within_budget() {
     let site = Site::new(12, &SERVERS);
-    let slack = |daemon: &Daemon| daemon.node.terms(site.now).slack;
+    let slack = |daemon: &Daemon| daemon.node.retry_terms(site.now).slack;
     let all: f64 = site.daemons.iter().map(slack).sum();
     assert!(all <= POLICY.retry_slack, "total retry slack is {all}");
     let scheduler = site.scheduler("plain");
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -1,58 +1,64 @@
-//! Which servers get work: leaving, lapsed, returned, and those that hold a prompt's parts.
+//! Selection of servers: registration states, residency of prompt parts, load, and the KV store.
 
 use super::world::*;
 use crate::fleet::*;
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
 
-fn ask(daemon: &mut Daemon, now: Time) -> Vec<Command> {
+fn request_commands(daemon: &mut Daemon, now: Time) -> Vec<Command> {
     let (request, effects) = daemon.arrive(now, &route("plain", Repeat::AtMostOnce, 1), None);
     daemon.node.apply(now, Message::Cancel(request));
     commands(&effects)
 }
 
 #[test]
-fn leaving_server_gets_nothing_and_never_returns() {
+fn draining_server_gets_no_requests_and_stays_draining() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
-    assert_eq!(ask(&mut daemon, ms(10)).len(), 1);
+    assert_eq!(request_commands(&mut daemon, ms(10)).len(), 1);
     daemon.put(ms(20), Topic::Servers, &[("s-1", "plain 11 draining")]);
-    assert!(ask(&mut daemon, ms(21)).is_empty());
+    assert!(request_commands(&mut daemon, ms(21)).is_empty());
     daemon.put(ms(30), Topic::Servers, &[("s-1", "plain 11 ready")]);
-    assert!(ask(&mut daemon, ms(31)).is_empty());
+    assert!(request_commands(&mut daemon, ms(31)).is_empty());
 }
 
 #[test]
-fn gone_server_gets_nothing() {
+fn removed_server_gets_no_requests() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
     daemon.put(ms(20), Topic::Servers, &[("s-1", "")]);
-    assert!(ask(&mut daemon, ms(21)).is_empty());
+    assert!(request_commands(&mut daemon, ms(21)).is_empty());
 }
 
 #[test]
-fn registration_lapsed_in_an_outage_is_kept_until_it_could_have_returned() {
+fn registration_lapsed_in_an_outage_is_kept_until_it_could_be_renewed() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let down = Message::ReadFailed(Dependency::Topic(Topic::Servers), "down".into());
     daemon.node.apply(ms(1_000), down);
     daemon.put(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
-    assert_eq!(ask(&mut daemon, ms(1_600)).len(), 1);
+    assert_eq!(request_commands(&mut daemon, ms(1_600)).len(), 1);
     daemon.put(ms(2_000), Topic::Servers, &[("s-2", "plain 12 ready")]);
     daemon.tick(ms(3_300));
     for at in 0..4 {
-        let seen = ask(&mut daemon, ms(3_400 + at));
-        assert!(matches!(&seen[..], [Command::Dispatch(d)] if d.server == "s-2"), "{seen:?}");
+        let sent_commands = request_commands(&mut daemon, ms(3_400 + at));
+        assert!(
+            matches!(&sent_commands[..], [Command::Dispatch(d)] if d.server == "s-2"),
+            "{sent_commands:?}"
+        );
     }
 }
 
 #[test]
-fn whole_read_without_a_server_takes_it_out() {
+fn complete_read_without_a_server_removes_it() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let record = Record { key: "s-2".into(), offset: 9, value: Some(b"plain 12 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 0, to: 100, records: vec![record] };
     let read = Read { batch, is_snapshot: true, current_at: ms(50) };
     daemon.node.apply(ms(50), Message::Read(read));
     for at in 0..4 {
-        let seen = ask(&mut daemon, ms(60 + at));
-        assert!(matches!(&seen[..], [Command::Dispatch(d)] if d.server == "s-2"), "{seen:?}");
+        let sent_commands = request_commands(&mut daemon, ms(60 + at));
+        assert!(
+            matches!(&sent_commands[..], [Command::Dispatch(d)] if d.server == "s-2"),
+            "{sent_commands:?}"
+        );
     }
 }
 
@@ -96,7 +102,7 @@
     assert_eq!(send(&mut daemon, ms(22), None, 3).weights_version, Some(2));
 }
 
-fn stored(salt: &str, parts: &[u64], epoch: u64) -> Message {
+fn store_events(salt: &str, parts: &[u64], epoch: u64) -> Message {
     let change = |part: &u64| CacheEvent { salt: salt.into(), part: *part, tokens: 4_000 };
     let changes = parts.iter().map(change).collect();
     Message::Events(
@@ -106,26 +112,26 @@
 }
 
 #[test]
-fn kv_store_is_sent_what_it_lacks_and_asked_for_what_it_keeps() {
+fn kv_store_is_sent_missing_parts_and_read_for_stored_ones() {
     let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.node.apply(ms(900), stored("1", &[], 1));
+    daemon.node.apply(ms(900), store_events("1", &[], 1));
     let first = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(first.save_to, Some(address(200)));
-    // It is on its way, so the next one does not send it again.
+    // The parts are being saved, so the next request does not save them again.
     assert_eq!(send(&mut daemon, ms(2_100), None, 3).save_to, None);
-    daemon.node.apply(ms(2_500), stored("1", &[7, 3], 1));
-    daemon.node.apply(ms(8_900), stored("1", &[], 1));
+    daemon.node.apply(ms(2_500), store_events("1", &[7, 3], 1));
+    daemon.node.apply(ms(8_900), store_events("1", &[], 1));
     let kept = send(&mut daemon, ms(9_000), None, 3);
     assert_eq!((kept.fetch_from, kept.save_to), (Some(address(200)), None));
-    // A store that has started again keeps nothing.
-    daemon.node.apply(ms(9_500), stored("1", &[], 2));
+    // A restarted store is empty.
+    daemon.node.apply(ms(9_500), store_events("1", &[], 2));
     assert_eq!(send(&mut daemon, ms(10_000), None, 3).save_to, Some(address(200)));
 }
 
 #[test]
 fn kv_store_that_is_down_is_not_used() {
     let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.node.apply(ms(900), stored("1", &[7, 3], 1));
+    daemon.node.apply(ms(900), store_events("1", &[7, 3], 1));
     daemon.node.apply(ms(1_000), Message::Events(Location::Store, None));
     let sent = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(sent.save_to, None);
@@ -135,20 +141,20 @@
 }
 
 #[test]
-fn kv_store_link_bounds_what_is_sent() {
+fn kv_store_link_limits_saves() {
     let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.node.apply(ms(900), stored("1", &[], 1));
+    daemon.node.apply(ms(900), store_events("1", &[], 1));
     daemon.tick(ms(1_000));
     let sent = (0..200)
         .filter(|subject| send(&mut daemon, ms(2_000), None, *subject).save_to.is_some())
         .count();
-    // 9,000 tokens of 163,840 bytes each, over a link of 47 GB a second that is this daemon's alone; a
-    // first token waits for no more than a fifth of a second of them.
+    // 9,000 tokens of 163,840 bytes each, over a link of 47 GB/s that only this daemon uses; saves may
+    // delay a first token by a fifth of a second at most.
     assert!((4..=6).contains(&sent), "{sent} prompts of 1.47 GB were sent at once");
 }
 
 #[test]
-fn engine_with_a_queue_gets_nothing_that_would_begin_late() {
+fn engine_with_a_queue_gets_no_request_that_would_begin_late() {
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let mut sent = Vec::new();
@@ -158,13 +164,13 @@
             sent.push(request);
         }
     }
-    // Each leaves 2,700 tokens to be read, about 54 ms; half of the target is 300 ms.
+    // Each has 2,700 uncached tokens, about 54 ms of prefill; half of the target is 300 ms.
     assert!((4..=7).contains(&sent.len()), "{} prompts were queued at one engine", sent.len());
-    // One that has begun makes room.
+    // A begun answer frees room.
     let effects = daemon.report(ms(80), sent[0], 1, Report::Begun(Some(1)));
     assert!(commands(&effects).is_empty());
     assert_eq!(commands(&daemon.tick(ms(100))).len(), 1);
-    // What does not find room in half of its target is told to come back.
+    // Requests without room after half of their target are refused.
     let refused = commands(&daemon.tick(ms(400)));
     assert!(!refused.is_empty());
     assert!(refused.iter().all(|command| matches!(command, Command::Refuse(..))), "{refused:?}");
@@ -196,24 +202,30 @@
         sent.extend(to);
     }
     assert!(sent.contains(&home));
-    assert!(sent.len() < ENGINES.len(), "every engine reads the same parts: {sent:?}");
+    assert!(sent.len() < ENGINES.len(), "every engine computes the same parts: {sent:?}");
     daemon.node.apply(ms(30), Message::Cancel(first));
 }
 
-/// Sixteen engines with weights 1.
-fn sixteen() -> Vec<(String, String)> {
+/// Registrations of sixteen engines with weights 1.
+fn sixteen_engines() -> Vec<(String, String)> {
     (1..=16).map(|n| (format!("e-{n:02}"), format!("engine {} ready 1", 20 + n))).collect()
 }
 
-fn with_sixteen(last: u8) -> Daemon {
-    let engines = sixteen();
+fn daemon_with_sixteen_engines(last: u8) -> Daemon {
+    let engines = sixteen_engines();
     let engines: Vec<(&str, &str)> =
         engines.iter().map(|(id, value)| (id.as_str(), value.as_str())).collect();
     Daemon::with(last, &engines)
 }
 
-/// A peer tells of its work.
-fn told(daemon: &mut Daemon, now: Time, last: u8, busy: &[(&str, Workload)], heat: &[(u64, f32)]) {
+/// Delivers a digest of the peer `last` with its load and heat.
+fn receive_digest(
+    daemon: &mut Daemon,
+    now: Time,
+    last: u8,
+    busy: &[(&str, Workload)],
+    heat: &[(u64, f32)],
+) {
     let digest = Digest {
         daemon: format!("router-{last:03}"),
         address: address(last).to_string(),
@@ -225,39 +237,39 @@
 }
 
 #[test]
-fn home_that_is_full_stays_the_home_and_others_fetch_from_it() {
-    let mut daemon = with_sixteen(1);
+fn full_home_stays_the_home_and_others_fetch_from_it() {
+    let mut daemon = daemon_with_sixteen_engines(1);
     let home = send(&mut daemon, ms(10), None, 3);
     let full = Workload { running: 48, ..Workload::default() };
-    told(&mut daemon, ms(20), 2, &[(home.server.as_str(), full)], &[]);
+    receive_digest(&mut daemon, ms(20), 2, &[(home.server.as_str(), full)], &[]);
     let spilled = send(&mut daemon, ms(30), None, 3);
     assert_ne!(spilled.server, home.server);
     assert_eq!(spilled.fetch_from, Some(home.address));
-    // Once there is room it is the home again; a peer that fell silent no longer counts.
+    // The load of a silent peer no longer counts, so the home has room again.
     daemon.tick(ms(4_990));
     assert_eq!(send(&mut daemon, ms(5_000), None, 3).server, home.server);
 }
 
 #[test]
-fn home_that_loads_weights_has_one_stand_in_for_all_daemons() {
-    let mut stand_ins = BTreeSet::new();
+fn home_that_loads_weights_has_one_substitute_for_all_daemons() {
+    let mut substitutes = BTreeSet::new();
     for last in [1, 2, 3] {
-        let mut daemon = with_sixteen(last);
+        let mut daemon = daemon_with_sixteen_engines(last);
         let home = send(&mut daemon, ms(10), None, 3).server;
         let loading = Workload { loading_weights: true, ..Workload::default() };
-        told(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
+        receive_digest(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
         let sent = send(&mut daemon, ms(30), None, 3).server;
         assert_ne!(sent, home);
-        stand_ins.insert(sent);
+        substitutes.insert(sent);
     }
-    assert_eq!(stand_ins.len(), 1, "{stand_ins:?}");
+    assert_eq!(substitutes.len(), 1, "{substitutes:?}");
 }
 
 #[test]
-fn subject_that_one_of_many_daemons_sees_now_and_then_has_one_home() {
-    let mut daemon = with_sixteen(1);
+fn subject_seen_rarely_by_one_of_many_daemons_has_one_home() {
+    let mut daemon = daemon_with_sixteen_engines(1);
     for last in 2..60 {
-        told(&mut daemon, ms(10), last, &[], &[]);
+        receive_digest(&mut daemon, ms(10), last, &[], &[]);
     }
     let servers: BTreeSet<String> =
         (0..6).map(|n| send(&mut daemon, ms(20 + 900 * n), None, 3).server).collect();
@@ -265,16 +277,16 @@
 }
 
 #[test]
-fn subject_that_is_hot_at_all_daemons_gets_more_homes() {
-    let mut daemon = with_sixteen(1);
+fn hot_subject_of_all_daemons_gets_more_homes() {
+    let mut daemon = daemon_with_sixteen_engines(1);
     let first = send(&mut daemon, ms(10), None, 3);
     let part = daemon.node.heat.top(ms(10), 2);
     assert_eq!(part.len(), 2);
     let heat: Vec<(u64, f32)> = part.iter().map(|(part, _)| (part.0, 100.0)).collect();
     for last in 2..8 {
-        told(&mut daemon, ms(20), last, &[], &heat);
+        receive_digest(&mut daemon, ms(20), last, &[], &heat);
     }
-    // 600 ms of work a second want more than two engines.
+    // 600 ms of work per second need more than two engines.
     let mut homes = BTreeSet::from([first.server]);
     let route = route("engines", Repeat::Resumable, 2);
     for n in 0..12 {
@@ -291,22 +303,22 @@
 #[test]
 fn idle_connections_are_shared_by_all_daemons() {
     // The pool accepts 100 connections from all callers.
-    let mut alone = with_sixteen(1);
+    let mut alone = daemon_with_sixteen_engines(1);
     assert_eq!(send(&mut alone, ms(10), None, 3).max_idle, 16);
-    let mut many = with_sixteen(1);
+    let mut many = daemon_with_sixteen_engines(1);
     for last in 2..11 {
-        told(&mut many, ms(10), last, &[], &[]);
+        receive_digest(&mut many, ms(10), last, &[], &[]);
     }
     assert_eq!(send(&mut many, ms(20), None, 3).max_idle, 5);
     for last in 11..100 {
-        told(&mut many, ms(20), last, &[], &[]);
+        receive_digest(&mut many, ms(20), last, &[], &[]);
     }
     assert_eq!(send(&mut many, ms(30), None, 3).max_idle, 1);
 }
 
-/// The KV store keeps these parts and the engines none, by their events.
-fn hears(daemon: &mut Daemon, now: Time, parts: &[u64]) {
-    daemon.node.apply(now, stored("1", parts, 1));
+/// Delivers events by which the KV store has these parts and the engines have none.
+fn receive_events(daemon: &mut Daemon, now: Time, parts: &[u64]) {
+    daemon.node.apply(now, store_events("1", parts, 1));
     let nothing = EventBatch { epoch: 1, next: 0, has_gap: false, events: Vec::new() };
     let engines: Vec<server::Key> = daemon.node.servers.keys().collect();
     for engine in engines {
@@ -316,35 +328,35 @@
 }
 
 #[test]
-fn fetch_from_the_kv_store_takes_as_long_as_others_were_seen_to_take() {
+fn fetch_cost_from_the_kv_store_follows_measured_times() {
     let mut daemon = Daemon::with(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let mut fetched = Vec::new();
     for step in 0..30_u64 {
-        // Events are read all the while: the store holds everything, the engine nothing.
+        // Events report that the store has all parts, and the engine none.
         let now = ms(9_000 + step * 400);
-        hears(&mut daemon, now, &[7, step]);
+        receive_events(&mut daemon, now, &[7, step]);
         let (request, effects) = daemon.arrive(now, &route, Some(prompt(7, step)));
         let from_store = dispatch(&effects).fetch_from == Some(address(200));
         fetched.push(from_store);
-        // Whatever is fetched waits for a second; what is read does not.
+        // A fetch delays the first token by a second; computing the parts does not.
         let took = if from_store { 1_000 } else { 150 };
         daemon.report(now + ms(took), request, 1, Report::Begun(Some(1)));
         daemon.report(now + ms(took), request, 1, Report::Ended);
     }
-    assert!(fetched[0], "nothing was seen of the link yet");
+    assert!(fetched[0], "before the first measurement, parts are fetched");
     let late = fetched[2..].iter().filter(|from_store| **from_store).count();
-    assert!(late < 10, "{late} of 28 were fetched over a link with a queue of a second");
-    // Seconds later the link is tried again.
-    hears(&mut daemon, ms(90_000), &[7, 99]);
+    assert!(late < 10, "{late} of 28 prompts were fetched over a link with a delay of 1 s");
+    // After a pause, the link is tried again.
+    receive_events(&mut daemon, ms(90_000), &[7, 99]);
     assert_eq!(send(&mut daemon, ms(90_000), None, 99).fetch_from, Some(address(200)));
 }
 
 #[test]
-fn kv_store_in_another_zone_takes_twice_its_link() {
+fn kv_store_in_another_zone_charges_its_link_twice() {
     let sent_by = |engine: (&str, &str)| {
         let mut daemon = Daemon::with(1, &[engine]);
-        daemon.node.apply(ms(900), stored("1", &[], 1));
+        daemon.node.apply(ms(900), store_events("1", &[], 1));
         daemon.tick(ms(1_000));
         let send = |subject: u64| send(&mut daemon, ms(2_000), None, subject).save_to.is_some();
         (0..50).map(send).filter(|saved| *saved).count()
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -204,8 +204,12 @@
             }
             Answer::Lease(records) => {
                 let is_empty = records.is_empty() && node.next_lease_offset() == 0;
-                self.idle_until =
-                    now + if is_empty { STORE_RETRY_DELAY } else { node.read_interval(now, self.tracked) };
+                self.idle_until = now
+                    + if is_empty {
+                        STORE_RETRY_DELAY
+                    } else {
+                        node.read_interval(now, self.tracked)
+                    };
                 self.wait = node.max_read_wait(now, self.tracked);
                 return Some(Message::Lease(0, records));
             }
@@ -223,7 +227,7 @@
         };
         (self.next, self.wait) = (Some(to), node.max_read_wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
-        Some(Message::Read(Read { batch, is_snapshot: whole, current_at: asked: started_at }))
+        Some(Message::Read(Read { batch, is_snapshot: whole, current_at: started_at }))
     }
 }
 
