--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -5,7 +5,7 @@
 use prost::Message as _;
 
 use super::scheduling::{Progress, Submission, Verdict};
-use super::{Batch, Keeper, Life, Naming, Notice, Record, Told, Topic};
+use super::{Batch, Holder, Incarnation, Naming, Notice, Record, Topic, Update};
 use crate::poison::{self, Blocked, Fingerprint};
 use crate::prelude::*;
 use crate::quota::Use;
@@ -50,9 +50,9 @@
     /// The offsets up to which it has all records, in the order of [`Topic::ALL`].
     pub end_offsets: Vec<u64>,
     /// Its work by server.
-    pub workloads: BTreeMap<Life, Workload>,
+    pub workloads: BTreeMap<Incarnation, Workload>,
     /// Weights observed at servers: server, model, version.
-    pub weights: Vec<(Life, String, u64)>,
+    pub weights: Vec<(Incarnation, String, u64)>,
     /// The prompt parts that cause most of its work, with milliseconds of work per second; empty in
     /// most digests.
     pub hot_parts: Vec<(u64, f32)>,
@@ -88,9 +88,9 @@
     /// A daemon's current work at one server.
     Notice(Notice),
     /// The parts held by an engine or the KV store.
-    Residency(Told),
+    Residency(Update),
     /// Request for all parts held somewhere: the requesting daemon and the holder.
-    FetchResidency(String, Keeper),
+    FetchResidency(String, Holder),
     /// A request submitted for placement.
     Submission(Box<Submission>),
     /// A state change of a submitted request.
@@ -192,44 +192,44 @@
     Some(Duration::from_millis(u64::from(number.checked_sub(1)?)))
 }
 
-impl From<Keeper> for wire::Keeper {
-    fn from(keeper: Keeper) -> Self {
+impl From<Holder> for wire::Keeper {
+    fn from(keeper: Holder) -> Self {
         match keeper {
-            Keeper::Engine(life) => {
-                Self { server: life.id, born: life.born, store_address: String::new() }
+            Holder::Engine(life) => {
+                Self { server: life.id, born: life.started_ms, store_address: String::new() }
             }
-            Keeper::Store(address) => {
+            Holder::Store(address) => {
                 Self { server: String::new(), born: 0, store_address: address.to_string() }
             }
         }
     }
 }
 
-fn decode_keeper(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
+fn decode_keeper(keeper: Option<wire::Keeper>) -> Result<Holder, Malformed> {
     let keeper = keeper.ok_or_else(|| Malformed("the frame lacks a holder of parts".into()))?;
     if !keeper.server.is_empty() {
-        return Ok(Keeper::Engine(Life::new(keeper.server, keeper.born)));
+        return Ok(Holder::Engine(Incarnation::new(keeper.server, keeper.born)));
     }
     let address = keeper.store_address.parse();
     address
-        .map(Keeper::Store)
+        .map(Holder::Store)
         .map_err(|_| Malformed(format!("invalid address: {:?}", keeper.store_address)))
 }
 
-impl From<Told> for wire::Residency {
-    fn from(told: Told) -> Self {
+impl From<Update> for wire::Residency {
+    fn from(told: Update) -> Self {
         Self {
             daemon: told.daemon,
-            keeper: Some(told.keeper.into()),
-            number: told.number,
-            is_snapshot: told.whole,
+            keeper: Some(told.holder.into()),
+            number: told.sequence,
+            is_snapshot: told.full,
             parts: told.changes.iter().map(|(part, _)| *part).collect(),
             tokens: told.changes.iter().map(|(_, tokens)| *tokens).collect(),
         }
     }
 }
 
-impl TryFrom<wire::Residency> for Told {
+impl TryFrom<wire::Residency> for Update {
     type Error = Malformed;
 
     fn try_from(held: wire::Residency) -> Result<Self, Malformed> {
@@ -238,9 +238,9 @@
         }
         Ok(Self {
             daemon: held.daemon,
-            keeper: decode_keeper(held.keeper)?,
-            number: held.number,
-            whole: held.is_snapshot,
+            holder: decode_keeper(held.keeper)?,
+            sequence: held.number,
+            full: held.is_snapshot,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
         })
     }
@@ -297,11 +297,11 @@
     }
 }
 
-impl From<(Life, Workload)> for wire::Workload {
-    fn from((life, workload): (Life, Workload)) -> Self {
+impl From<(Incarnation, Workload)> for wire::Workload {
+    fn from((life, workload): (Incarnation, Workload)) -> Self {
         Self {
             server: life.id,
-            born: life.born,
+            born: life.started_ms,
             running: workload.running,
             pending_tokens: workload.pending_tokens,
             loading_weights: workload.loading_weights,
@@ -311,7 +311,7 @@
     }
 }
 
-impl From<wire::Workload> for (Life, Workload) {
+impl From<wire::Workload> for (Incarnation, Workload) {
     fn from(workload: wire::Workload) -> Self {
         let wire::Workload {
             server,
@@ -329,17 +329,17 @@
             last_answer_age_ms,
             unanswered_ms,
         };
-        (Life::new(server, born), workload)
+        (Incarnation::new(server, born), workload)
     }
 }
 
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
-        let (blocked, blocked_ages_ms) = poison::from_blocked(&digest.blocked);
+        let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
         let workloads = digest.workloads.into_iter().map(wire::Workload::from);
         let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
             server: life.id,
-            born: life.born,
+            born: life.started_ms,
             model,
             version,
         });
@@ -390,7 +390,7 @@
         if !digest.cores.is_finite() {
             return Err(Malformed("the digest's number of cores is not finite".into()));
         }
-        let workloads = digest.workloads.into_iter().map(<(Life, Workload)>::from);
+        let workloads = digest.workloads.into_iter().map(<(Incarnation, Workload)>::from);
         Ok(Self {
             daemon: digest.daemon,
             address: digest.address,
@@ -405,13 +405,13 @@
                 .weights
                 .into_iter()
                 .map(|weights| {
-                    (Life::new(weights.server, weights.born), weights.model, weights.version)
+                    (Incarnation::new(weights.server, weights.born), weights.model, weights.version)
                 })
                 .collect(),
             hot_parts: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
             refused: digest.refused.into_iter().map(Fingerprint).collect(),
             link_bytes_moved: digest.link_bytes_moved,
-            blocked: poison::to_blocked(digest.blocked, digest.blocked_ages_ms),
+            blocked: poison::blocks_from_wire(digest.blocked, digest.blocked_ages_ms),
             sent_at: Duration::from_millis(digest.sent_at_ms),
             named: digest.named.into_iter().map(Naming::from).collect(),
             caught_up_age: decode_age(digest.caught_up_age_ms),
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use super::{Batch, Entry, EventsRead, Frame, Place, Prompt, Topic, server};
-use crate::poison::{Answer, Blocked, Fingerprint, Victim};
+use super::{Batch, Entry, EventBatch, Frame, Location, Prompt, Topic, server};
+use crate::poison::{Answer, Blocked, Fingerprint, Incarnation};
 use crate::prelude::*;
 use crate::route::{Route, Table, Workspace};
 
@@ -245,9 +245,9 @@
     /// An engine reported its state, or could not be reached.
     Polled(server::Key, Option<State>),
     /// Events of a holder of cached parts were read, or could not be read.
-    Events(Place, Option<EventsRead>),
+    Events(Location, Option<EventBatch>),
     /// The port of a server that may have crashed was probed.
-    Probed(Victim, Answer),
+    Probed(Incarnation, Answer),
     /// A frame arrived from a peer.
     Frame(Frame),
     /// A planned stop was requested.
@@ -287,14 +287,14 @@
     /// Read the events of a holder of cached parts, waiting until there are some.
     ReadEvents {
         /// The holder.
-        place: Place,
+        place: Location,
         /// The address on which it listens.
         address: SocketAddr,
         /// The number of the first event to read.
         since: u64,
     },
     /// Probe whether anything still listens at the address of a server that may have crashed.
-    Probe(Victim, SocketAddr),
+    Probe(Incarnation, SocketAddr),
     /// Write to the platform's store for how long a request has been blocked, or that it no longer is.
     WriteBlock(Fingerprint, Option<Duration>),
     /// Close idle connections to this address because the server there has ended.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod frame;
 mod gossip;
 mod homes;
-mod life;
+mod incarnation;
 mod load;
 mod loading;
 mod message;
@@ -42,7 +42,7 @@
 pub use catalog::{Batch, Catalog, Record, Topic};
 pub use figures::Counts;
 pub use frame::{Digest, Frame, Malformed, Workload};
-pub use life::Life;
+pub use incarnation::Incarnation;
 pub use message::{
     Arrival, Change, Command, Dependency, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read,
     Refusal, Report, State,
@@ -51,7 +51,7 @@
 pub use node::{Identity, Node, Policy};
 pub use notice::Notice;
 pub use prompt::{Part, Prompt};
-pub use residency::{EventsRead, Keeper, Place, Stored, Told};
+pub use residency::{CacheEvent, EventBatch, Holder, Location, Update};
 pub use retry::Budget;
 #[cfg(test)]
 pub(crate) use run::Letter;
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas of workspaces: who keeps them, what is let in, and what daemons tell each other of their use.
 
-use super::peer::{INTERVAL, Peer};
+use super::peer::{DIGEST_INTERVAL, Peer};
 use super::request::{Phase, Request};
 use super::{Digest, Key, Node};
 use crate::prelude::*;
@@ -43,7 +43,7 @@
     fn is_told_of(&self, now: Time) -> bool {
         let lasts = |digest: &Digest| digest.interval * 2 + LENT_FOR;
         let lasts = self.digest.as_ref().map(lasts);
-        self.heard.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
+        self.heard_at.zip(lasts).is_some_and(|(heard, lasts)| now < heard + lasts)
     }
 }
 
@@ -51,30 +51,30 @@
     /// Looks at who keeps the quotas and what this daemon may let in.
     pub(super) fn look_at_quotas(&mut self, now: Time) {
         let keeper = self.quota_keeper(now);
-        if keeper != self.keeping.keeper {
-            let former = self.keeping.keeper.as_str();
+        if keeper != self.quota_leadership.keeper {
+            let former = self.quota_leadership.keeper.as_str();
             let stopped = self.peers.get(former).is_some_and(Peer::is_draining);
             // Who has just started lends its share for the first time, so nobody else counts it.
             let wait = if former.is_empty() || stopped { Duration::ZERO } else { TAKES_OVER };
-            self.keeping.taking_over_until = now + wait;
-            self.keeping.keeper = keeper;
-            self.next_digest = self.next_digest.min(now + INTERVAL / 5);
+            self.quota_leadership.taking_over_until = now + wait;
+            self.quota_leadership.keeper = keeper;
+            self.next_digest = self.next_digest.min(now + DIGEST_INTERVAL / 5);
         }
         let role = self.quota_role(now);
         let keeps = matches!(role, Role::Keeper { .. });
-        self.keeping.since = keeps.then(|| self.keeping.since.unwrap_or(now));
+        self.quota_leadership.since = keeps.then(|| self.quota_leadership.since.unwrap_or(now));
         self.quota.set_role(now, role);
         self.look_at_undecided(now);
     }
 
     /// Tries what waits for a daemon that may let it in once more.
     fn look_at_undecided(&mut self, now: Time) {
-        for key in std::mem::take(&mut self.keeping.undecided) {
+        for key in std::mem::take(&mut self.quota_leadership.undecided) {
             if let Some(request) = self.requests.get_mut(&key) {
                 request.submissions = 0;
             }
             if !self.submit(now, key) && self.let_in(now, key) {
-                self.send_or_wait(now, key);
+                self.send_or_queue(now, key);
             }
         }
     }
@@ -87,11 +87,11 @@
         if knows || request.origin.is_some() || self.draining {
             return false;
         }
-        let until = now + Self::longest_wait(request);
+        let until = now + Self::max_wait(request);
         let waits = now < *request.admission_deadline.get_or_insert(until);
         if waits {
             request.phase = Phase::Waiting(now);
-            self.keeping.undecided.insert(key);
+            self.quota_leadership.undecided.insert(key);
         }
         waits
     }
@@ -110,26 +110,26 @@
     fn quota_role(&self, now: Time) -> Role {
         let id = &self.identity.id;
         if !self.is_scheduler(now) {
-            return Role::Other { daemons: self.daemons() };
+            return Role::Other { daemons: self.daemon_count() };
         }
         let lenders = self.peers.values().filter(|peer| peer.lends_to(now, id)).count();
         // Others notice first where the one before has ended, since their requests find it gone.
-        let is_keeper = self.keeping.keeper == *id || lenders * 2 > self.daemons();
+        let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemon_count();
         if !is_keeper {
-            let keeper = self.peers.get(&self.keeping.keeper);
+            let keeper = self.peers.get(&self.quota_leadership.keeper);
             return Role::Deputy { is_told: keeper.is_some_and(|keeper| keeper.is_told_of(now)) };
         }
         let lent = (lenders + 1) as f64 / self.lending_daemons(now) as f64;
-        let since = self.keeping.since.unwrap_or(now);
-        let is_new = now < self.keeping.taking_over_until.min(since + TAKES_OVER);
+        let since = self.quota_leadership.since.unwrap_or(now);
+        let is_new = now < self.quota_leadership.taking_over_until.min(since + TAKES_OVER);
         Role::Keeper { lent: lent.min(1.0), is_new }
     }
 
     /// Daemons that have a share. Where most are heard of, those that have been silent for long have none; on the
     /// other side of a cut they are not most.
     fn lending_daemons(&self, now: Time) -> usize {
-        let daemons = self.daemons();
-        let gone = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + GONE_AFTER;
+        let daemons = self.daemon_count();
+        let gone = |peer: &&Peer| now >= peer.heard_at.unwrap_or_default() + GONE_AFTER;
         let gone = self.peers.values().filter(gone).count();
         let rest = daemons.saturating_sub(gone).max(1);
         if rest * 2 > daemons { rest } else { daemons }
@@ -159,8 +159,8 @@
         if request.possible_runs > 0 || request.charged_runs > 0 {
             return true;
         }
-        let longest = Self::longest_absence(now, request);
-        let in_time = Self::longest_wait(request).min(longest);
+        let longest = Self::max_retry_after(now, request);
+        let in_time = Self::max_wait(request).min(longest);
         let (is_back, fingerprint) = (request.refused_before, request.arrival.fingerprint);
         let ask = Ask { workspace: &workspace, quota, units, is_back, in_time };
         match self.quota.let_in(now, ask) {
@@ -172,11 +172,11 @@
             }
             Err(_) if self.may_wait_undecided(now, key) => false,
             Err(over) => {
-                let after = self.spread(over.after.unwrap_or(longest / 2)).min(longest);
+                let after = self.with_jitter(over.after.unwrap_or(longest / 2)).min(longest);
                 self.log_over_quota(key, &workspace, quota, units, over);
-                self.refuse_until(now, key, Code::OverQuota, after);
+                self.refuse_with_retry_after(now, key, Code::OverQuota, after);
                 if over.after.is_none() {
-                    self.expected.forget(fingerprint);
+                    self.expected.remove(fingerprint);
                 }
                 false
             }
@@ -230,7 +230,7 @@
             .and("burst", quota.burst)
             .and("role", role)
             .and("lent", lent)
-            .and("keeper", self.keeping.keeper.as_str());
+            .and("keeper", self.quota_leadership.keeper.as_str());
         self.event(Event::QuotaUsed, detail);
     }
 }
--- a/src/fleet/recall.rs
+++ b/src/fleet/recall.rs
@@ -29,7 +29,7 @@
             }
             if let (Some(prompt), Some(version)) =
                 (&request.arrival.prompt, request.weights_version)
-                && self.is_too_late(now, &prompt.model, version)
+                && self.needs_recall(now, &prompt.model, version)
             {
                 recalled.push(*key);
             }
@@ -51,7 +51,7 @@
         let overdue = self.requests.iter().filter(|(_, request)| {
             let placed = matches!(request.phase, Phase::Submitted(Stage::Placed(placed)) if !placed.has_begun());
             let weights = request.arrival.prompt.as_ref().zip(request.weights_version);
-            placed && weights.is_some_and(|(prompt, v)| self.is_left_too_late(now, &prompt.model, v))
+            placed && weights.is_some_and(|(prompt, v)| self.needs_takeover(now, &prompt.model, v))
         });
         let overdue: Vec<Key> = overdue.map(|(key, _)| *key).collect();
         for key in overdue {
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -1,70 +1,71 @@
 //! Records of the platform's store, and what they change.
 
-use super::life::Known;
+use super::incarnation::Known;
 use super::request::{Phase, Request};
 use super::{
-    Batch, Change, Dependency, Effect, Entry, Key, Node, Place, Read, Record, Server, Topic, server,
+    Batch, Change, Dependency, Effect, Entry, Key, Location, Node, Read, Record, Server, Topic,
+    server,
 };
 use crate::prelude::*;
 use crate::route::Table;
 
 /// After the store is back, registrations that lapsed meanwhile have this long to return.
-const LAPSED_RETURN: Duration = Duration::from_millis(2_200);
+const LAPSED_RETURN_TIME: Duration = Duration::from_millis(2_200);
 /// Unreadable records that are remembered, so that each is told of once.
-const MAX_UNREADABLE: usize = 1_024;
+const MAX_UNREADABLE_KEYS: usize = 1_024;
 /// Records that are told to peers at once; a peer asks for more when it sees that it is behind.
-const MAX_TOLD: usize = 64;
+const MAX_FORWARDED_RECORDS: usize = 64;
 
 impl Node {
-    pub(super) fn read(&mut self, now: Time, read: Read) {
+    pub(super) fn handle_read(&mut self, now: Time, read: Read) {
         let Read { batch, is_snapshot: whole, current_at: asked } = read;
         let topic = batch.topic;
-        self.came_up(now, Dependency::Topic(topic));
+        self.mark_readable(now, Dependency::Topic(topic));
         self.read_at.insert(topic, now);
         if whole {
-            self.take_whole(now, batch);
+            self.apply_snapshot(now, batch);
         } else {
-            self.take(now, batch, true);
+            self.apply_batch(now, batch, true);
         }
-        if topic == Topic::Operator && self.lacks_nothing() {
-            self.missed_nothing(asked);
+        if topic == Topic::Operator && self.has_all_operator_records() {
+            self.note_complete_until(asked);
         }
     }
 
     /// Whether nothing is known to have been published by operators that this daemon lacks.
-    pub(super) fn lacks_nothing(&self) -> bool {
+    pub(super) fn has_all_operator_records(&self) -> bool {
         let topic = Topic::Operator;
-        self.known.contains(&topic)
-            && self.catalog.is_whole(topic)
+        self.known_topics.contains(&topic)
+            && self.catalog.is_contiguous(topic)
             && !self.behind.contains_key(&topic)
     }
 
     /// Takes everything that is left of a topic: what is not in it is gone.
-    pub(super) fn take_whole(&mut self, now: Time, batch: Batch) {
+    pub(super) fn apply_snapshot(&mut self, now: Time, batch: Batch) {
         let Batch { topic, to, .. } = batch;
-        let gone = self.catalog.missing(topic, &batch.records, to);
-        self.take_records(now, topic, &gone);
-        self.take_records(now, topic, &batch.records);
-        self.catalog.take_whole(topic, to);
-        self.known.insert(topic);
+        let removals = self.catalog.removals(topic, &batch.records, to);
+        self.apply_records(now, topic, &removals);
+        self.apply_records(now, topic, &batch.records);
+        self.catalog.mark_snapshot(topic, to);
+        self.known_topics.insert(topic);
     }
 
     /// Takes a batch from the store or from a peer, and tells some peers of what was new in it.
-    pub(super) fn take(&mut self, now: Time, batch: Batch, tell: bool) {
-        let any_new = self.take_records(now, batch.topic, &batch.records);
+    pub(super) fn apply_batch(&mut self, now: Time, batch: Batch, forward: bool) {
+        let any_new = self.apply_records(now, batch.topic, &batch.records);
         // A peer tells of new records one by one: with a gap before them they are a part of the topic,
         // and what is read next may be older than they are.
         if self.catalog.advance(batch.topic, batch.from, batch.to) {
-            self.known.insert(batch.topic);
+            self.known_topics.insert(batch.topic);
         }
-        if tell && any_new && batch.records.len() <= MAX_TOLD {
-            self.tell_records(now, batch);
+        if forward && any_new && batch.records.len() <= MAX_FORWARDED_RECORDS {
+            self.forward_records(now, batch);
         }
     }
 
-    pub(super) fn went_down(&mut self, now: Time, tracked: Dependency, reason: &str) {
+    pub(super) fn mark_unreadable(&mut self, now: Time, tracked: Dependency, reason: &str) {
         if tracked == Dependency::Topic(Topic::Servers) {
-            self.down_at = Some(now);
+            self.servers_down_at = Some(now);
         }
         if self.unread_since.contains_key(&tracked) {
             return;
@@ -75,7 +76,7 @@
     }
 
     /// Notes that what is tracked was read.
-    pub(super) fn came_up(&mut self, now: Time, tracked: Dependency) {
+    pub(super) fn mark_readable(&mut self, now: Time, tracked: Dependency) {
         if let Some(since) = self.unread_since.remove(&tracked) {
             let detail =
                 Detail::of("topic", tracked.name()).and("down_ms", now.saturating_sub(since));
@@ -84,24 +85,24 @@
     }
 
     /// Takes records in; whether any was new.
-    fn take_records(&mut self, now: Time, topic: Topic, records: &[Record]) -> bool {
+    fn apply_records(&mut self, now: Time, topic: Topic, records: &[Record]) -> bool {
         let mut any_new = false;
         for record in records {
-            if !self.catalog.take(topic, record) {
+            if !self.catalog.insert(topic, record) {
                 continue;
             }
             any_new = true;
             match (self.decode)(topic, record) {
                 Ok(change) => {
-                    self.unreadable.remove(&(topic, record.key.clone()));
-                    self.change(now, change);
+                    self.unreadable_records.remove(&(topic, record.key.clone()));
+                    self.apply_change(now, change);
                 }
-                Err(reason) => self.unreadable(now, topic, record, reason),
+                Err(reason) => self.skip_unreadable(now, topic, record, reason),
             }
         }
         self.catalog.trim();
         if any_new {
-            self.pump(now);
+            self.send_waiting(now);
         }
         any_new
     }
@@ -109,42 +110,42 @@
     /// Takes over a record that can't be read: it names no server, also where its key once did; the
     /// last configuration and the last weights that were named hold. Told of once for each key and
     /// reason, since another writer may repeat it as often as servers register.
-    fn unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
+    fn skip_unreadable(&mut self, now: Time, topic: Topic, record: &Record, reason: String) {
         self.counts.unreadable += 1;
         if topic == Topic::Servers
-            && let Some(key) = self.lives.registered(&record.key)
+            && let Some(key) = self.incarnations.registered(&record.key)
         {
-            self.remove(now, key);
+            self.remove_server(now, key);
         }
         let detail = Detail::of("topic", format!("{topic:?}"))
             .and("key", record.key.as_str())
             .and("offset", record.offset)
             .and("reason", reason.as_str());
         let key = (topic, record.key.clone());
-        if self.unreadable.get(&key) == Some(&reason) {
+        if self.unreadable_records.get(&key) == Some(&reason) {
             return;
         }
-        if self.unreadable.len() >= MAX_UNREADABLE {
-            self.unreadable.pop_first();
+        if self.unreadable_records.len() >= MAX_UNREADABLE_KEYS {
+            self.unreadable_records.pop_first();
         }
-        self.unreadable.insert(key, reason);
+        self.unreadable_records.insert(key, reason);
         self.event(Event::RecordUnreadable, detail);
     }
 
-    fn change(&mut self, now: Time, change: Change) {
+    fn apply_change(&mut self, now: Time, change: Change) {
         match change {
-            Change::Table { table, left_out } => self.adopt(table, &left_out),
-            Change::Weights { model, version } => self.name_weights(now, &model, version),
+            Change::Table { table, left_out } => self.apply_table(table, &left_out),
+            Change::Weights { model, version } => self.note_naming(now, &model, version),
             Change::Server(entry) => self.register(now, entry),
             Change::ServerGone(id) => self.unregister(now, &id),
-            Change::Router { id, address, cores } => self.meet(now, id, address, cores),
+            Change::Router { id, address, cores } => self.register_peer(now, id, address, cores),
             Change::Blocked(told) => self.block_kept(now, told),
             Change::Unblocked(fingerprint) => self.block_gone(now, fingerprint),
             Change::Nothing => {}
         }
     }
 
-    pub(super) fn adopt(&mut self, table: Arc<Table>, left_out: &[String]) {
+    pub(super) fn apply_table(&mut self, table: Arc<Table>, left_out: &[String]) {
         let current = self.table.as_ref().map_or(0, |table| table.version());
         if self.table.is_some() && table.version() <= current {
             return;
@@ -161,59 +162,60 @@
     /// Takes over a registration: of a server that is known, of a new one, or of one that has started
     /// again. One from a life that has ended changes nothing.
     pub(super) fn register(&mut self, now: Time, entry: Entry) {
-        match self.lives.find(&entry.life) {
+        match self.incarnations.find(&entry.incarnation) {
             Known::Ended => {}
-            Known::Same(key) => self.update(key, entry),
-            Known::New => self.add(entry),
-            Known::Next(former) => self.begin_anew(now, former, entry),
+            Known::Same(key) => self.update_server(key, entry),
+            Known::New => self.add_server(entry),
+            Known::Next(former) => self.replace_restarted(now, former, entry),
         }
     }
 
-    fn update(&mut self, key: server::Key, entry: Entry) {
+    fn update_server(&mut self, key: server::Key, entry: Entry) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let was_leaving = server.entry.leaving;
-        let id = entry.life.id.clone();
+        let was_leaving = server.entry.draining;
+        let id = entry.incarnation.id.clone();
         server.update(entry);
-        if server.entry.leaving && !was_leaving {
+        if server.entry.draining && !was_leaving {
             self.event(Event::ServerLeaving, Detail::of("server", id));
         }
     }
 
-    fn add(&mut self, entry: Entry) {
+    fn add_server(&mut self, entry: Entry) {
         self.event(
             Event::ServerAdded,
-            Detail::of("server", entry.life.id.as_str())
+            Detail::of("server", entry.incarnation.id.as_str())
                 .and("pool", entry.pool.as_str())
                 .and("address", entry.address)
-                .and("born", entry.life.born),
+                .and("born", entry.incarnation.started_ms),
         );
-        let (life, pool) = (entry.life.clone(), entry.pool.clone());
+        let (life, pool) = (entry.incarnation.clone(), entry.pool.clone());
         let key = self.servers.insert(Server::new(entry));
-        self.lives.begin(&life, key);
+        self.incarnations.begin(&life, key);
         self.pools.entry(pool).or_default().push(key);
         // What peers told of this life before it was known counts from now on.
-        self.others_are_stale = true;
+        self.peer_loads_stale = true;
     }
 
     /// Ends what was believed of a server's former life. What it ran there has ended with it, so that
     /// which may be repeated is sent again at once instead of waiting for silence.
-    fn begin_anew(&mut self, now: Time, former: server::Key, entry: Entry) {
+    fn replace_restarted(&mut self, now: Time, former: server::Key, entry: Entry) {
         let address = self.servers.get(former).map(|server| server.entry.address);
-        let detail = Detail::of("server", entry.life.id.as_str()).and("born", entry.life.born);
+        let detail = Detail::of("server", entry.incarnation.id.as_str())
+            .and("born", entry.incarnation.started_ms);
         self.event(Event::ServerRestarted, detail);
-        let there = self.requests.iter().filter_map(|(key, request)| match request.phase {
+        let attempts = self.requests.iter().filter_map(|(key, request)| match request.phase {
             Phase::Sent { server, sent_at: at, .. } if server == former => Some((*key, at)),
             _ => None,
         });
-        let there: Vec<(Key, Time)> = there.collect();
-        for (key, at) in &there {
+        let attempts: Vec<(Key, Time)> = attempts.collect();
+        for (key, at) in &attempts {
             self.connection_lost(now, *key, former, now.saturating_sub(*at));
         }
-        self.remove(now, former);
-        self.add(entry);
+        self.remove_server(now, former);
+        self.add_server(entry);
         self.effects.extend(address.map(Effect::Disconnect));
         let repeatable = |key: &Key| self.requests.get(key).is_some_and(Request::may_repeat);
-        let lost: Vec<Key> = there.into_iter().map(|(key, _)| key).filter(repeatable).collect();
+        let lost: Vec<Key> = attempts.into_iter().map(|(key, _)| key).filter(repeatable).collect();
         for key in lost {
             self.log_failed(key, former, "its server has started again");
             self.repeat(now, key);
@@ -223,42 +225,42 @@
     /// Takes a server out whose registration is gone; one that may have lapsed only because the
     /// store was away is kept until it has had time to return.
     pub(super) fn unregister(&mut self, now: Time, id: &str) {
-        let Some(key) = self.lives.registered(id) else { return };
-        if self.down_at.is_some_and(|at| now < at + LAPSED_RETURN) {
+        let Some(key) = self.incarnations.registered(id) else { return };
+        if self.servers_down_at.is_some_and(|at| now < at + LAPSED_RETURN_TIME) {
             if let Some(server) = self.servers.get_mut(key) {
-                server.doubted_at = Some(now);
+                server.unconfirmed_removal_at = Some(now);
             }
             return;
         }
-        self.remove(now, key);
+        self.remove_server(now, key);
     }
 
-    pub(super) fn drop_lapsed(&mut self, now: Time) {
-        let Some(down_at) = self.down_at else { return };
-        if now < down_at + LAPSED_RETURN {
+    pub(super) fn remove_lapsed(&mut self, now: Time) {
+        let Some(down_at) = self.servers_down_at else { return };
+        if now < down_at + LAPSED_RETURN_TIME {
             return;
         }
-        self.down_at = None;
+        self.servers_down_at = None;
         let lapsed: Vec<server::Key> = self
             .servers
             .iter()
-            .filter(|(_, server)| server.doubted_at.is_some())
+            .filter(|(_, server)| server.unconfirmed_removal_at.is_some())
             .map(|(key, _)| key)
             .collect();
         for key in lapsed {
-            self.remove(now, key);
+            self.remove_server(now, key);
         }
     }
 
-    pub(super) fn remove(&mut self, now: Time, key: server::Key) {
+    pub(super) fn remove_server(&mut self, now: Time, key: server::Key) {
         let Some(server) = self.servers.remove(key) else { return };
-        self.lives.end(&server.entry.life);
+        self.incarnations.end(&server.entry.incarnation);
         self.registration_ended(now, &server);
-        self.others.remove(&key);
-        self.readings.remove(&Place::Engine(key));
+        self.peer_loads.remove(&key);
+        self.event_reads.remove(&Location::Engine(key));
         if let Some(keys) = self.pools.get_mut(&server.entry.pool) {
             keys.retain(|other| *other != key);
         }
-        self.event(Event::ServerRemoved, Detail::of("server", server.entry.life.id));
+        self.event(Event::ServerRemoved, Detail::of("server", server.entry.incarnation.id));
     }
 }
--- a/src/fleet/requests.rs
+++ b/src/fleet/requests.rs
@@ -1,8 +1,8 @@
 //! The life of a request: it arrives, waits, is sent, and is sent again, refused or given up.
 
-use super::admission::Turn;
+use super::admission::Position;
 use super::place::Choice;
-use super::prompt::{keyed, shared};
+use super::prompt::{salted_key, shared_parts};
 use super::request::{Phase, Request};
 use super::retry::Terms;
 use super::scheduling::Origin;
@@ -27,8 +27,8 @@
     pub(super) fn terms(&self, now: Time) -> Terms {
         let part = if self.is_scheduler(now) && !self.has_just_started(now) {
             SCHEDULER_SLACK
-        } else if self.known.contains(&Topic::Routers) {
-            OTHERS_SLACK / self.daemons() as f64
+        } else if self.known_topics.contains(&Topic::Routers) {
+            OTHERS_SLACK / self.daemon_count() as f64
         } else {
             0.0
         };
@@ -38,7 +38,7 @@
 
     pub(super) fn spend(&mut self, now: Time, pool: &str) -> bool {
         let terms = self.terms(now);
-        self.budgets.entry(pool.to_owned()).or_default().spend(now, terms)
+        self.budgets.entry(pool.to_owned()).or_default().try_spend(now, terms)
     }
 
     pub(super) fn arrive(&mut self, now: Time, arrival: Arrival) {
@@ -64,16 +64,16 @@
         pool: String,
         origin: Option<Origin>,
     ) {
-        self.sum_others(now);
+        self.sum_peer_load(now);
         let terms = self.terms(now);
-        self.budgets.entry(pool.clone()).or_default().earn(now, terms);
+        self.budgets.entry(pool.clone()).or_default().note_request(now, terms);
         if let Some(prompt) = &arrival.prompt {
             let isolated = arrival.workspace.as_ref().filter(|owner| owner.isolated);
             let owner = isolated.map_or("", |owner| owner.name.as_str());
             self.note_heat(now, owner, prompt);
         }
         let key = arrival.request;
-        let returned = self.expected.is_back(now, arrival.fingerprint);
+        let returned = self.expected.is_retry(now, arrival.fingerprint);
         let request =
             Request { refused_before: returned, ..Request::new(now, arrival, pool, origin) };
         self.requests.insert(key, request);
@@ -81,7 +81,7 @@
             return self.refuse_blocked(now, key);
         }
         if self.let_in(now, key) {
-            self.send_or_wait(now, key);
+            self.send_or_queue(now, key);
         }
     }
 
@@ -128,7 +128,7 @@
         let table = self.table.as_ref();
         let pool = self.requests.get(&key).and_then(|request| table?.pool(&request.pool));
         let accepted = pool.map_or(u32::MAX, |pool| pool.max_connections) as usize;
-        (accepted / 2 / self.daemons()).clamp(1, MAX_IDLE)
+        (accepted / 2 / self.daemon_count()).clamp(1, MAX_IDLE)
     }
 
     pub(super) fn dispatch(&mut self, now: Time, key: Key, choice: Choice) {
@@ -140,40 +140,41 @@
         request.possible_runs += 1;
         request.tried.push(choice.server);
         request.weights_version = choice.weights;
-        request.fetch_cost_ms = choice.from_store.then(|| choice.cost_ms - self.link.delay_ms(now));
+        request.fetch_cost_ms =
+            choice.from_store.then(|| choice.cost_ms - self.kv_link.delay_ms(now));
         request.phase = Phase::Sent {
             server: choice.server,
-            prefill_tokens: choice.tokens,
+            prefill_tokens: choice.read_tokens,
             begun: false,
             sent_at: now,
         };
         server.running += 1;
-        self.link.spend(choice.moved_bytes);
-        server.pending_tokens = server.pending_tokens.saturating_add(choice.tokens);
+        self.kv_link.spend(choice.moved_bytes);
+        server.pending_tokens = server.pending_tokens.saturating_add(choice.read_tokens);
         let mut parts = Vec::new();
         if let Some(prompt) = &request.arrival.prompt {
             let salt = choice.salt.as_deref().unwrap_or_default();
-            for part in shared(&prompt.parts) {
-                parts.push(keyed(salt, part.id));
-                server.held.note_sent(now, keyed(salt, part.id));
+            for part in shared_parts(&prompt.parts) {
+                parts.push(salted_key(salt, part.id));
+                server.residency.note_sent(now, salted_key(salt, part.id));
                 if choice.save_to.is_some() {
-                    self.kept.note(now, salt, part.id);
+                    self.kv_store.mark_in_transit(now, salt, part.id);
                 }
             }
         }
         let dispatch = Dispatch {
             attempt: request.sends,
-            server: server.entry.life.id.clone(),
+            server: server.entry.incarnation.id.clone(),
             address: server.entry.address,
             cache_salt: choice.salt.clone(),
             weights_version: choice.weights,
             fetch_from: choice.fetch_from,
             save_to: choice.save_to,
-            priority: Self::rank(request).min(9),
+            priority: Self::priority(request).min(9),
             max_idle: most_idle,
         };
         self.log_sent(now, key, &choice);
-        self.notice(now, choice.server, choice.tokens, parts);
+        self.send_notice(now, choice.server, choice.read_tokens, parts);
         self.assign(key, dispatch, &choice);
     }
 
@@ -187,7 +188,7 @@
         if request.sends >= MAX_SENDS {
             return self.refuse(now, key, code);
         }
-        self.send_or_wait(now, key);
+        self.send_or_queue(now, key);
     }
 
     /// Sends a request once more that may have run, where its route allows it and it is not likely to be
@@ -198,7 +199,7 @@
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.may_repeat() && harmless {
             request.draws_on_retry_budget = true;
-            return self.send_or_wait(now, key);
+            return self.send_or_queue(now, key);
         }
         self.command(key, Command::GiveUp);
         self.forget(now, key);
@@ -221,14 +222,14 @@
         self.release(key);
         self.withdraw(key);
         self.give_back(now, key);
-        self.keeping.undecided.remove(&key);
+        self.quota_leadership.undecided.remove(&key);
         if let Some(request) = self.requests.remove(&key) {
             if let Some(origin) = &request.origin {
                 self.served.remove(origin);
             }
-            self.waiting.remove(&Turn::of(key, &request));
+            self.waiting.remove(&Position::of(key, &request));
             if !self.waiting.is_empty() {
-                self.pump(now);
+                self.send_waiting(now);
             }
         }
     }
--- a/src/fleet/scheduling/message.rs
+++ b/src/fleet/scheduling/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::fleet::{Key, Life, Prompt, Report};
+use crate::fleet::{Incarnation, Key, Prompt, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
@@ -68,7 +68,7 @@
     /// The scheduler's number of the attempt, from 1.
     pub attempt: u32,
     /// The server.
-    pub server: Life,
+    pub server: Incarnation,
     /// The address on which it listens.
     pub address: SocketAddr,
     /// Prompt tokens that the server is expected to compute.
--- a/src/fleet/scheduling/ranking.rs
+++ b/src/fleet/scheduling/ranking.rs
@@ -76,7 +76,7 @@
         self.ranking.higher_ranked =
             ranked.iter().filter(|(rank, _)| rank.compare(&own).is_lt()).count();
         let silent = |id: &str| {
-            self.peers.get(id).is_none_or(|peer| peer.has_fallen_silent(now, SILENCE_LIMIT))
+            self.peers.get(id).is_none_or(|peer| peer.is_silent_or_draining(now, SILENCE_LIMIT))
         };
         ranked.retain(|(_, id)| id.is_none_or(|id| !silent(id)));
         if !self.draining {
@@ -87,7 +87,7 @@
         let schedulers: Vec<String> =
             first.map(|(_, id)| id.unwrap_or(&self.identity.id).to_owned()).collect();
         for (id, peer) in &mut self.peers {
-            peer.watch(now, schedulers.contains(id), SILENCE_LIMIT);
+            peer.update_rank(now, schedulers.contains(id), SILENCE_LIMIT);
         }
         let newcomers = schedulers.iter().filter(|id| !self.ranking.schedulers.contains(id));
         let newcomers = newcomers.filter_map(|id| self.peer_address(id)).collect();
@@ -153,7 +153,7 @@
     pub(in crate::fleet) fn last_heard_scheduler(&self, now: Time) -> Option<&str> {
         let heard =
             self.other_schedulers().filter(|(_, peer)| peer.is_fresh(now) && !peer.is_draining());
-        heard.max_by_key(|(_, peer)| peer.heard).map(|(id, _)| id.as_str())
+        heard.max_by_key(|(_, peer)| peer.heard_at).map(|(id, _)| id.as_str())
     }
 
     /// Suspends submissions to a scheduler that did not reply to one.
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -95,7 +95,7 @@
         let Some(key) = self.served.key(&progress.daemon, progress.request) else { return };
         match progress.step {
             Step::Withdrawn => self.forget(now, key),
-            Step::Report(report) => self.report(now, key, progress.attempt, report),
+            Step::Report(report) => self.handle_report(now, key, progress.attempt, report),
         }
     }
 
@@ -123,9 +123,9 @@
         };
         let assignment = Assignment {
             attempt: dispatch.attempt,
-            server: server.entry.life.clone(),
+            server: server.entry.incarnation.clone(),
             address: dispatch.address,
-            prefill_tokens: choice.tokens,
+            prefill_tokens: choice.read_tokens,
             cache_salt: dispatch.cache_salt,
             weights_version: dispatch.weights_version,
             fetch_from: dispatch.fetch_from,
--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -60,7 +60,7 @@
             request.submissions += 1;
         }
         self.counts.submitted += 1;
-        self.asked.insert(key);
+        self.awaiting_scheduler.insert(key);
         self.effects.push(Effect::Send(vec![address], Frame::Submission(Box::new(submission))));
         true
     }
@@ -78,7 +78,7 @@
             }
             return;
         };
-        self.asked.remove(&key);
+        self.awaiting_scheduler.remove(&key);
         match decision {
             Decision::Queued => {
                 if matches!(request.phase, Phase::Submitted(Stage::AwaitingVerdict(_))) {
@@ -103,7 +103,7 @@
 
     /// Sends a request to the assigned server, unless this daemon has newer information against it.
     fn dispatch_assignment(&mut self, now: Time, key: Key, assignment: Assignment) {
-        let Some(server) = self.lives.server(&assignment.server) else {
+        let Some(server) = self.incarnations.server(&assignment.server) else {
             return self.withdraw_from_scheduler(now, key);
         };
         if !self.may_be_sent(now, key, server, assignment.weights_version) {
@@ -130,7 +130,7 @@
             weights_version: assignment.weights_version,
             fetch_from: assignment.fetch_from,
             save_to: assignment.save_to,
-            priority: Self::rank(request).min(9),
+            priority: Self::priority(request).min(9),
             max_idle: most_idle,
         };
         self.counts.sent += 1;
@@ -142,9 +142,9 @@
     /// a leaving server, newly named weights, or a possible execution of the request.
     fn may_be_sent(&self, now: Time, key: Key, server: server::Key, weights: Option<u64>) -> bool {
         let Some(request) = self.requests.get(&key) else { return false };
-        let stays = self.servers.get(server).is_some_and(|server| !server.entry.leaving);
+        let stays = self.servers.get(server).is_some_and(|server| !server.entry.draining);
         let weights_allowed = match (&request.arrival.prompt, weights) {
-            (Some(prompt), Some(version)) => self.may_begin(now, &prompt.model, version),
+            (Some(prompt), Some(version)) => self.is_version_allowed(now, &prompt.model, version),
             _ => true,
         };
         stays && weights_allowed && (request.possible_runs == 0 || request.may_repeat())
@@ -166,20 +166,20 @@
         match report {
             Report::Begun(weights) => {
                 if let (Some(model), Some(version)) = (&model, weights) {
-                    self.saw_weights(now, server, model, version);
+                    self.note_weights(now, server, model, version);
                 }
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.mark_begun(now, key, placed);
             }
             Report::Ended => {
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.was_served(now, key);
                 self.requests.remove(&key);
             }
             Report::Refused(refused) => {
                 self.log_declined(key, server, refused);
                 self.counts.declined += 1;
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
                 self.handle_not_run(now, key, refused != Refusal::Replaced);
             }
@@ -218,7 +218,7 @@
             request.possible_runs -= 1;
             request.draws_on_retry_budget |= arrived;
             request.phase = Phase::Submitted(Stage::AwaitingVerdict(now));
-            self.asked.insert(key);
+            self.awaiting_scheduler.insert(key);
         }
     }
 
@@ -228,7 +228,7 @@
         if request.may_repeat() {
             request.draws_on_retry_budget = true;
             request.phase = Phase::Submitted(Stage::AwaitingVerdict(now));
-            self.asked.insert(key);
+            self.awaiting_scheduler.insert(key);
             return;
         }
         self.effects.push(Effect::Command(key, Command::GiveUp));
@@ -237,7 +237,7 @@
 
     /// Takes back requests whose scheduler did not reply in time or is gone.
     pub(in crate::fleet) fn check_schedulers(&mut self, now: Time) {
-        let unanswered = self.asked.iter().filter_map(|key| {
+        let unanswered = self.awaiting_scheduler.iter().filter_map(|key| {
             let request = self.requests.get(key)?;
             let Phase::Submitted(Stage::AwaitingVerdict(at)) = request.phase else { return None };
             (now >= at + VERDICT_TIMEOUT).then(|| request.scheduler.clone())
@@ -275,14 +275,14 @@
 
     /// Has a request placed by another scheduler or by this daemon.
     fn continue_without_scheduler(&mut self, now: Time, key: Key) {
-        self.asked.remove(&key);
+        self.awaiting_scheduler.remove(&key);
         let Some(request) = self.requests.get_mut(&key) else { return };
         let Phase::Submitted(stage) = request.phase else { return };
         request.scheduler.clear();
         let Stage::Placed(Placement { server, prefill_tokens, begun, sent_at, .. }) = stage else {
             request.phase = Phase::Waiting(now);
             if !self.submit(now, key) && self.let_in(now, key) {
-                self.send_or_wait(now, key);
+                self.send_or_queue(now, key);
             }
             return;
         };
@@ -299,7 +299,7 @@
 
     /// Notifies the scheduler that a request has ended here.
     pub(in crate::fleet) fn withdraw(&mut self, key: Key) {
-        self.asked.remove(&key);
+        self.awaiting_scheduler.remove(&key);
         let Some(request) = self.requests.get(&key) else { return };
         if matches!(request.phase, Phase::Submitted(_)) {
             let scheduler = request.scheduler.clone();
--- a/src/fleet/scheduling/wire.rs
+++ b/src/fleet/scheduling/wire.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{Assignment, Decision, Step};
-use crate::fleet::{Key, Life, Loss, Malformed, Part, Prompt, Refusal, Report};
+use crate::fleet::{Incarnation, Key, Loss, Malformed, Part, Prompt, Refusal, Report};
 use crate::poison::Fingerprint;
 use crate::prelude::*;
 use crate::quota::{Quota, Unit};
@@ -309,7 +309,7 @@
         Self {
             attempt: assignment.attempt,
             server: assignment.server.id,
-            born: assignment.server.born,
+            born: assignment.server.started_ms,
             address: assignment.address.to_string(),
             tokens: assignment.prefill_tokens,
             salt: assignment.cache_salt,
@@ -326,7 +326,7 @@
     fn try_from(wire: WireAssignment) -> Result<Self, Malformed> {
         Ok(Self {
             attempt: wire.attempt,
-            server: Life::new(wire.server, wire.born),
+            server: Incarnation::new(wire.server, wire.born),
             address: address(&wire.address)?,
             prefill_tokens: wire.tokens,
             cache_salt: wire.salt,
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -79,7 +79,7 @@
     pub(super) fn check_weights(&mut self, vm: usize) {
         let versions: BTreeSet<u64> = self.servers.iter().map(|server| server.version).collect();
         for version in versions {
-            let may = |node: &Node| node.may_begin(self.now, "m", version);
+            let may = |node: &Node| node.is_version_allowed(self.now, "m", version);
             if self.node(vm).is_some_and(may) {
                 self.check_begin(vm, version, "may begin on");
             }
@@ -98,7 +98,7 @@
         let Some(node) = self.node(vm) else { return };
         let mut wrong = Vec::new();
         for (id, (at, record)) in self.store.newest(Topic::Servers) {
-            let known = node.lives.registered(id).and_then(|key| node.servers.get(key));
+            let known = node.incarnations.registered(id).and_then(|key| node.servers.get(key));
             let value = record.value.as_deref().map(String::from_utf8_lossy);
             match (value, known) {
                 (None, Some(_)) if self.now > at + RETURN + NEWS => {
@@ -109,8 +109,8 @@
                 }
                 (Some(value), Some(known)) if self.now > at + NEWS => {
                     let leaving = value.contains("draining");
-                    if leaving != known.entry.leaving {
-                        wrong.push(format!("{id}: leaving {}", known.entry.leaving));
+                    if leaving != known.entry.draining {
+                        wrong.push(format!("{id}: leaving {}", known.entry.draining));
                     }
                 }
                 _ => {}
@@ -152,7 +152,7 @@
     pub(super) fn check_budget(&mut self) {
         let steady: Vec<usize> = (0..self.vms.len()).filter(|vm| self.is_steady(*vm)).collect();
         let left = |vm: &usize| {
-            Some(Budget::default().left(self.now, self.node(*vm)?.terms(self.now)) as f64)
+            Some(Budget::default().remaining(self.now, self.node(*vm)?.terms(self.now)) as f64)
         };
         let taken: f64 = steady.iter().filter_map(left).sum();
         if let Some(first) = steady.first().filter(|_| taken > POLICY.retry_slack) {
@@ -164,8 +164,8 @@
         }
         for vm in steady {
             let Some(node) = self.node(vm) else { continue };
-            let known = node.daemons();
-            if node.known.contains(&Topic::Routers) && known < self.vms.len() {
+            let known = node.daemon_count();
+            if node.known_topics.contains(&Topic::Routers) && known < self.vms.len() {
                 self.wrong(
                     vm,
                     Belief::Budget,
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -40,7 +40,7 @@
 }
 
 fn registered(daemon: &Daemon) -> Vec<&str> {
-    let ids = daemon.node.servers.values().map(|server| server.entry.life.id.as_str());
+    let ids = daemon.node.servers.values().map(|server| server.entry.incarnation.id.as_str());
     ids.collect::<BTreeSet<&str>>().into_iter().collect()
 }
 
@@ -97,9 +97,9 @@
 #[test]
 fn one_router_that_a_peer_tells_of_is_not_all_that_share_the_retry_budget() {
     let mut daemon = Daemon::new(1);
-    let unknown = daemon.node.daemons();
+    let unknown = daemon.node.daemon_count();
     told(&mut daemon, ms(20), batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]));
-    assert!(daemon.node.daemons() >= unknown, "{} of {unknown}", daemon.node.daemons());
+    assert!(daemon.node.daemon_count() >= unknown, "{} of {unknown}", daemon.node.daemon_count());
 }
 
 // A registration that was the last but one record, and whose removal was the last, is not listed: since the
@@ -153,7 +153,7 @@
     let mut peer = Daemon::new(2);
     let left = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
     read_whole(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
-    let from = cut_off.node.end(Topic::Servers);
+    let from = cut_off.node.end_offset(Topic::Servers);
     let routers = [("router-1", "router 1")];
     peer.put(ms(10), Topic::Routers, &routers);
     let ask = Frame::Fetch("router-1".into(), Topic::Servers, from);
@@ -162,7 +162,7 @@
             cut_off.node.apply(ms(30), Message::Frame(frame));
         }
     }
-    let end = cut_off.node.end(Topic::Servers);
+    let end = cut_off.node.end_offset(Topic::Servers);
     assert!(end < 4 || registered(&cut_off) == ["s-1", "s-3"], "{:?}", registered(&cut_off));
 }
 
@@ -243,8 +243,8 @@
 fn removals_forgotten_past_a_gap_shut_out_nothing_before_them() {
     let mut catalog = Catalog::default();
     for offset in 10_000..15_000 {
-        catalog.take(Topic::Servers, &record(&format!("s-{offset}"), offset, ""));
+        catalog.insert(Topic::Servers, &record(&format!("s-{offset}"), offset, ""));
     }
     catalog.trim();
-    assert!(catalog.take(Topic::Servers, &record("s-1", 5, "plain 11 ready")));
+    assert!(catalog.insert(Topic::Servers, &record("s-1", 5, "plain 11 ready")));
 }
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -109,7 +109,7 @@
     let route = route("engines", Repeat::Resumable, 2);
     let (_, effects) = daemon.arrive(ms(9_000), &route, Some(prompt(1, 2)));
     assert!(commands(&effects).is_empty());
-    let weights = vec![(Life::new("e-1", 0), "m".into(), 2)];
+    let weights = vec![(Incarnation::new("e-1", 0), "m".into(), 2)];
     let digest = Digest {
         daemon: "router-3".into(),
         address: address(3).to_string(),
@@ -157,7 +157,7 @@
     let frame = Frame::Records(batch);
     assert_eq!(told(&daemon.node.apply(ms(1_020), Message::Frame(frame.clone()))), 3);
     assert_eq!(told(&daemon.node.apply(ms(1_030), Message::Frame(frame))), 0);
-    assert_eq!(daemon.node.end(Topic::Servers), 3);
+    assert_eq!(daemon.node.end_offset(Topic::Servers), 3);
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let record = Record { key: "s-9".into(), offset: 8, value: Some(b"plain 19 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 8, to: 9, records: vec![record] };
     daemon.node.apply(ms(1_010), Message::Frame(Frame::Records(batch)));
-    assert_eq!(daemon.node.end(Topic::Servers), 1);
+    assert_eq!(daemon.node.end_offset(Topic::Servers), 1);
     let digest = Digest {
         daemon: "router-002".into(),
         address: address(2).to_string(),
@@ -185,14 +185,14 @@
 #[test]
 fn daemons_share_the_reading_of_the_store() {
     let servers = Dependency::Topic(Topic::Servers);
-    let alone = hearing_of(0, ms(1_000)).node.pace(ms(1_010), servers);
-    let few = hearing_of(6, ms(1_000)).node.pace(ms(1_010), servers);
-    let many = hearing_of(60, ms(1_000)).node.pace(ms(1_010), servers);
+    let alone = hearing_of(0, ms(1_000)).node.read_interval(ms(1_010), servers);
+    let few = hearing_of(6, ms(1_000)).node.read_interval(ms(1_010), servers);
+    let many = hearing_of(60, ms(1_000)).node.read_interval(ms(1_010), servers);
     assert!(alone < few && few < many && many <= ms(1_200), "{alone:?} {few:?} {many:?}");
     // Peers that fall silent no longer read for this daemon.
-    assert_eq!(hearing_of(60, ms(1_000)).node.pace(ms(9_000), servers), alone);
+    assert_eq!(hearing_of(60, ms(1_000)).node.read_interval(ms(9_000), servers), alone);
     let mut operators = hearing_of(60, ms(1_000));
-    assert_eq!(operators.node.pace(ms(1_010), Dependency::Topic(Topic::Operator)), ms(0));
+    assert_eq!(operators.node.read_interval(ms(1_010), Dependency::Topic(Topic::Operator)), ms(0));
     operators.tick(ms(1_010));
 }
 
@@ -210,12 +210,12 @@
         last.node.apply(ms(1_000), Message::Frame(Frame::Digest(Box::new(digest))));
     }
     last.tick(ms(1_010));
-    assert!(last.node.pace(ms(1_010), Dependency::Lease) > ms(2_000));
+    assert!(last.node.read_interval(ms(1_010), Dependency::Lease) > ms(2_000));
     // All of them fall silent, one after the other.
     for now in (1_100..9_000).step_by(100) {
         last.tick(ms(now));
     }
-    assert!(last.node.pace(ms(9_000), Dependency::Lease) < ms(1_000));
+    assert!(last.node.read_interval(ms(9_000), Dependency::Lease) < ms(1_000));
 }
 
 #[test]
@@ -267,7 +267,7 @@
     let records = vec![Record { key: "router-2".into(), offset: 8, value }];
     let batch = Batch { topic: Topic::Routers, from: 8, to: 9, records };
     daemon.node.apply(ms(10), Message::Frame(Frame::Records(batch)));
-    assert!(daemon.node.daemons() > 2);
+    assert!(daemon.node.daemon_count() > 2);
 }
 
 #[test]
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -48,7 +48,10 @@
     site.report(other, key, second.attempt, Report::Begun(None));
     site.report(other, key, second.attempt, Report::Ended);
     assert_eq!(site.running(scheduler), 0);
-    assert_eq!((site.daemons[scheduler].node.open(), site.daemons[other].node.open()), (0, 0));
+    assert_eq!(
+        (site.daemons[scheduler].node.open_requests(), site.daemons[other].node.open_requests()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -72,7 +75,7 @@
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
     site.apply(other, Message::Cancel(key));
-    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open()), (0, 0));
+    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open_requests()), (0, 0));
 }
 
 #[test]
@@ -120,7 +123,7 @@
     let daemon = format!("router-{}", scheduler + 1);
     let assignment = Assignment {
         attempt: 2,
-        server: Life::new("s-2", 0),
+        server: Incarnation::new("s-2", 0),
         address: address(102),
         prefill_tokens: 0,
         cache_salt: None,
@@ -155,7 +158,7 @@
     let again = site.sent(other, key);
     assert_eq!(again.attempt, sent.attempt + 1);
     site.report(other, key, again.attempt, Report::Ended);
-    assert_eq!((site.running(other), site.daemons[other].node.open()), (0, 0));
+    assert_eq!((site.running(other), site.daemons[other].node.open_requests()), (0, 0));
 }
 
 #[test]
@@ -190,7 +193,7 @@
     let commands = site.commands(other, waiting);
     assert!(matches!(commands.as_slice(), [Command::Refuse(Code::Draining, _)]), "{commands:?}");
     assert_eq!(
-        site.daemons[scheduler].node.open(),
+        site.daemons[scheduler].node.open_requests(),
         2,
         "the scheduler no longer queues the request"
     );
@@ -209,7 +212,7 @@
         ..Digest::default()
     };
     site.apply(scheduler, Message::Frame(Frame::Digest(Box::new(digest))));
-    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open()), (0, 0));
+    assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open_requests()), (0, 0));
 }
 
 #[test]
