--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -106,7 +106,7 @@
     ///
     /// ```
     /// use cardamomvalve::fleet::{Frame, Topic};
-    /// let frame = Frame::Ask("router-1".into(), Topic::Servers, 7);
+    /// let frame = Frame::Fetch("router-1".into(), Topic::Servers, 7);
     /// assert_eq!(Frame::decode(&frame.encode()), Ok(frame));
     /// ```
     pub fn encode(&self) -> Vec<u8> {
