--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -127,11 +127,11 @@
                     parts,
                 })
             }
-            Self::Residency(told) => wire::Body::Residency(told.into()),
-            Self::FetchResidency(daemon, keeper) => {
+            Self::Residency(update) => wire::Body::Residency(update.into()),
+            Self::FetchResidency(daemon, holder) => {
                 wire::Body::FetchResidency(wire::FetchResidency {
                     daemon,
-                    keeper: Some(keeper.into()),
+                    holder: Some(holder.into()),
                 })
             }
             Self::Submission(submission) => wire::Body::Submission((*submission).into()),
@@ -164,7 +164,7 @@
             }
             Some(wire::Body::Residency(held)) => Ok(Self::Residency(held.try_into()?)),
             Some(wire::Body::FetchResidency(ask)) => {
-                Ok(Self::FetchResidency(ask.daemon, decode_keeper(ask.keeper)?))
+                Ok(Self::FetchResidency(ask.daemon, decode_holder(ask.holder)?))
             }
             Some(wire::Body::Submission(submission)) => {
                 Ok(Self::Submission(Box::new(submission.try_into()?)))
@@ -192,9 +192,9 @@
     Some(Duration::from_millis(u64::from(number.checked_sub(1)?)))
 }
 
-impl From<Holder> for wire::Keeper {
-    fn from(keeper: Holder) -> Self {
-        match keeper {
+impl From<Holder> for wire::Holder {
+    fn from(holder: Holder) -> Self {
+        match holder {
             Holder::Engine(life) => {
                 Self { server: life.id, born: life.started_ms, store_address: String::new() }
             }
@@ -205,26 +205,26 @@
     }
 }
 
-fn decode_keeper(keeper: Option<wire::Keeper>) -> Result<Holder, Malformed> {
-    let keeper = keeper.ok_or_else(|| Malformed("the frame lacks a holder of parts".into()))?;
-    if !keeper.server.is_empty() {
-        return Ok(Holder::Engine(Incarnation::new(keeper.server, keeper.born)));
+fn decode_holder(holder: Option<wire::Holder>) -> Result<Holder, Malformed> {
+    let holder = holder.ok_or_else(|| Malformed("the frame lacks a holder of parts".into()))?;
+    if !holder.server.is_empty() {
+        return Ok(Holder::Engine(Incarnation::new(holder.server, holder.born)));
     }
-    let address = keeper.store_address.parse();
+    let address = holder.store_address.parse();
     address
         .map(Holder::Store)
-        .map_err(|_| Malformed(format!("invalid address: {:?}", keeper.store_address)))
+        .map_err(|_| Malformed(format!("invalid address: {:?}", holder.store_address)))
 }
 
 impl From<Update> for wire::Residency {
-    fn from(told: Update) -> Self {
+    fn from(update: Update) -> Self {
         Self {
-            daemon: told.daemon,
-            keeper: Some(told.holder.into()),
-            number: told.sequence,
-            is_snapshot: told.full,
-            parts: told.changes.iter().map(|(part, _)| *part).collect(),
-            tokens: told.changes.iter().map(|(_, tokens)| *tokens).collect(),
+            daemon: update.daemon,
+            holder: Some(update.holder.into()),
+            number: update.sequence,
+            is_snapshot: update.full,
+            parts: update.changes.iter().map(|(part, _)| *part).collect(),
+            tokens: update.changes.iter().map(|(_, tokens)| *tokens).collect(),
         }
     }
 }
@@ -238,7 +238,7 @@
         }
         Ok(Self {
             daemon: held.daemon,
-            holder: decode_keeper(held.keeper)?,
+            holder: decode_holder(held.holder)?,
             sequence: held.number,
             full: held.is_snapshot,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
--- a/src/fleet/frame/wire.rs
+++ b/src/fleet/frame/wire.rs
@@ -143,7 +143,7 @@
 
 /// An engine, or the KV store, which is identified by its address.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Keeper {
+pub(super) struct Holder {
     #[prost(string, tag = "1")]
     pub(super) server: String,
     #[prost(uint64, tag = "2")]
@@ -157,7 +157,7 @@
     #[prost(string, tag = "1")]
     pub(super) daemon: String,
     #[prost(message, optional, tag = "2")]
-    pub(super) keeper: Option<Keeper>,
+    pub(super) holder: Option<Holder>,
     #[prost(uint64, tag = "3")]
     pub(super) number: u64,
     #[prost(bool, tag = "4")]
@@ -174,7 +174,7 @@
     #[prost(string, tag = "1")]
     pub(super) daemon: String,
     #[prost(message, optional, tag = "2")]
-    pub(super) keeper: Option<Keeper>,
+    pub(super) holder: Option<Holder>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
