--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn submit_silent_scheduler_placed_locally() {
+fn submit_silent_scheduler_sent_within_100_ms() {
     let mut site = Site::new(6, &SERVERS);
     let (scheduler, other) = (site.scheduler("plain"), site.other());
     site.down.insert(scheduler);
