--- a/src/fleet/explain.rs
+++ b/src/fleet/explain.rs
@@ -2,7 +2,7 @@
 
 use super::place::Choice;
 use super::request::{Phase, Request};
-use super::{Dispatch, Key, Loss, Node, Refused, Topic, Tracked, server};
+use super::{Dependency, Dispatch, Key, Loss, Node, Refusal, Topic, server};
 use crate::prelude::*;
 
 impl Loss {
@@ -32,7 +32,7 @@
     /// the store.
     fn with_data_ages(&self, now: Time, detail: Detail) -> Detail {
         let table = self.table.as_ref().map_or(0, |table| table.version());
-        let unread = self.unread_since.get(&Tracked::Topic(Topic::Servers));
+        let unread = self.unread_since.get(&Dependency::Topic(Topic::Servers));
         detail
             .and("table", table)
             .and_some("servers_unread_ms", unread.map(|since| now.saturating_sub(*since)))
@@ -49,16 +49,16 @@
             .and("address", server.entry.address)
             .and("fingerprint", request.arrival.fingerprint.to_string())
             .and("cost_ms", choice.cost_ms.round())
-            .and("read_tokens", choice.tokens)
-            .and("held_tokens", choice.held)
-            .and("fetched_tokens", choice.fetched)
+            .and("read_tokens", choice.read_tokens)
+            .and("held_tokens", choice.held_tokens)
+            .and("fetched_tokens", choice.fetched_tokens)
             .and_some("events_ms_ago", server.residency.age(now))
             .and("running", load.running)
             .and("running_here", server.running)
-            .and_some("told_ms_ago", load.told_at().map(|at| now.saturating_sub(at)))
+            .and_some("told_ms_ago", load.reported_at().map(|at| now.saturating_sub(at)))
             .and_some("weights", choice.weights)
             .and_some("overtaken_ms", self.overtaken(now, request, choice.weights))
-            .and("home", choice.at_home)
+            .and("home", choice.is_home)
             .and_some("fetch_from", choice.fetch_from)
             .and("save", choice.save_to.is_some());
         let detail = self.with_data_ages(now, detail);
@@ -83,7 +83,7 @@
     /// knows.
     fn overtaken(&self, now: Time, request: &Request, weights: Option<u64>) -> Option<Duration> {
         let prompt = request.arrival.prompt.as_ref()?;
-        self.overtaken_for(now, &prompt.model, weights?)
+        self.superseded_for(now, &prompt.model, weights?)
     }
 
     /// Logs the begin of the answer to a request that was sent at time `at`.
@@ -143,12 +143,12 @@
         self.event(Event::AttemptFailed, detail);
     }
 
-    pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refused) {
+    pub(super) fn log_declined(&mut self, key: Key, server: server::Key, refused: Refusal) {
         let Some(request) = self.requests.get(&key) else { return };
         let (reason, weights) = match refused {
-            Refused::Busy => ("the server is full, draining or loading weights", None),
-            Refused::Gone => ("another server has the address", None),
-            Refused::Weights(version) => ("the server has weights of another version", version),
+            Refusal::Busy => ("the server is full, draining or loading weights", None),
+            Refusal::Gone => ("another server has the address", None),
+            Refusal::Weights(version) => ("the server has weights of another version", version),
         };
         let detail =
             self.attempt_detail(request, server).and("reason", reason).and_some("weights", weights);
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -1,6 +1,6 @@
 //! Metrics of a node: its view of the platform and the age of that, servers, queue and budgets.
 
-use super::{Node, Tracked};
+use super::{Dependency, Node};
 use crate::prelude::*;
 use crate::quota::Role;
 use crate::telemetry::metrics::Figure;
@@ -65,8 +65,8 @@
             Figure::new("submitted", self.counts.submitted),
             Figure::new("unscheduled", self.counts.unscheduled),
             Figure::new("records_unreadable", self.counts.unreadable),
-            Figure::new("requests_blocked", self.poison.blocked(now).count() as u64),
-            Figure::new("blocks_unwritten", self.poison.unkept(now).len() as u64),
+            Figure::new("requests_blocked", self.poison.blocks(now).count() as u64),
+            Figure::new("blocks_unwritten", self.poison.unstored_blocks(now).len() as u64),
         ];
         figures.extend(
             self.counts.rows().map(|(outcome, n)| Figure::of("attempts", "outcome", outcome, n)),
@@ -106,7 +106,7 @@
         }
         let terms = self.retry_terms(now);
         for (pool, budget) in &mut self.budgets {
-            let left = budget.left(now, terms);
+            let left = budget.remaining(now, terms);
             figures.push(Figure::of("retries_left", "pool", pool, left));
         }
     }
@@ -127,7 +127,7 @@
                 show("weights", *version);
             }
             let weights = server.entry.weights.iter();
-            let ages = weights.filter_map(|(m, v)| self.overtaken_for(now, m, *v));
+            let ages = weights.filter_map(|(m, v)| self.superseded_for(now, m, *v));
             if let Some(age) = ages.max() {
                 show("weights_overtaken_ms", ms(age));
             }
@@ -136,7 +136,7 @@
 
     /// Adds the time since which each topic can't be read, and the age of each peer's last digest.
     fn add_ages(&self, now: Time, figures: &mut Vec<Figure>) {
-        for tracked in Tracked::ALL {
+        for tracked in Dependency::ALL {
             let unread = self.unread_since.get(&tracked);
             let unread = unread.map_or(0, |since| ms(now.saturating_sub(*since)));
             figures.push(Figure::of("unread_ms", "topic", tracked.name(), unread));
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -5,7 +5,7 @@
 use prost::Message as _;
 
 use super::scheduling::{Progress, Submission, Verdict};
-use super::{Batch, Incarnation, Keeper, Naming, Notice, Record, Told, Topic};
+use super::{Batch, Holder, Incarnation, Naming, Notice, Record, Topic, Update};
 use crate::poison::{self, Blocked, Fingerprint};
 use crate::prelude::*;
 use crate::quota::Use;
@@ -16,7 +16,7 @@
 
 /// Work that one daemon has at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Busy {
+pub struct Workload {
     /// Requests in flight.
     pub running: u32,
     /// Prompt tokens of those whose answers have not begun.
@@ -50,7 +50,7 @@
     /// The offsets before which it misses no record, in the order of [`Topic::ALL`].
     pub ends: Vec<u64>,
     /// Its work by server.
-    pub busy: BTreeMap<Incarnation, Busy>,
+    pub busy: BTreeMap<Incarnation, Workload>,
     /// Weights that servers were seen to have: server, model, version.
     pub weights: Vec<(Incarnation, String, u64)>,
     /// The parts of prompts that most of its work is for, with milliseconds of work a second; none
@@ -88,9 +88,9 @@
     /// What a daemon has at one server now.
     Notice(Notice),
     /// What an engine or the KV store keeps.
-    Held(Told),
+    Held(Update),
     /// Wants to be told everything that is kept there: who asks, and of what.
-    AskHeld(String, Keeper),
+    AskHeld(String, Holder),
     /// Wants a server for a request.
     Submission(Box<Submission>),
     /// What became of a request that was submitted.
@@ -179,42 +179,42 @@
     Some(Duration::from_millis(u64::from(number.checked_sub(1)?)))
 }
 
-impl From<Keeper> for wire::Keeper {
-    fn from(keeper: Keeper) -> Self {
+impl From<Holder> for wire::Keeper {
+    fn from(keeper: Holder) -> Self {
         match keeper {
-            Keeper::Engine(life) => {
+            Holder::Engine(life) => {
                 Self { server: life.id, born: life.started_ms, store: String::new() }
             }
-            Keeper::Store(address) => {
+            Holder::Store(address) => {
                 Self { server: String::new(), born: 0, store: address.to_string() }
             }
         }
     }
 }
 
-fn named(keeper: Option<wire::Keeper>) -> Result<Keeper, Malformed> {
+fn named(keeper: Option<wire::Keeper>) -> Result<Holder, Malformed> {
     let keeper = keeper.ok_or_else(|| Malformed("the frame names no keeper".into()))?;
     if !keeper.server.is_empty() {
-        return Ok(Keeper::Engine(Incarnation::new(keeper.server, keeper.born)));
+        return Ok(Holder::Engine(Incarnation::new(keeper.server, keeper.born)));
     }
     let address = keeper.store.parse();
-    address.map(Keeper::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
+    address.map(Holder::Store).map_err(|_| Malformed(format!("no address: {:?}", keeper.store)))
 }
 
-impl From<Told> for wire::Held {
-    fn from(told: Told) -> Self {
+impl From<Update> for wire::Held {
+    fn from(told: Update) -> Self {
         Self {
             daemon: told.daemon,
-            keeper: Some(told.keeper.into()),
-            number: told.number,
-            whole: told.whole,
+            keeper: Some(told.holder.into()),
+            number: told.sequence,
+            whole: told.full,
             parts: told.changes.iter().map(|(part, _)| *part).collect(),
             tokens: told.changes.iter().map(|(_, tokens)| *tokens).collect(),
         }
     }
 }
 
-impl TryFrom<wire::Held> for Told {
+impl TryFrom<wire::Held> for Update {
     type Error = Malformed;
 
     fn try_from(held: wire::Held) -> Result<Self, Malformed> {
@@ -223,9 +223,9 @@
         }
         Ok(Self {
             daemon: held.daemon,
-            keeper: named(held.keeper)?,
-            number: held.number,
-            whole: held.whole,
+            holder: named(held.keeper)?,
+            sequence: held.number,
+            full: held.whole,
             changes: held.parts.into_iter().zip(held.tokens).collect(),
         })
     }
@@ -282,8 +282,8 @@
     }
 }
 
-impl From<(Incarnation, Busy)> for wire::Busy {
-    fn from((life, busy): (Incarnation, Busy)) -> Self {
+impl From<(Incarnation, Workload)> for wire::Busy {
+    fn from((life, busy): (Incarnation, Workload)) -> Self {
         Self {
             server: life.id,
             born: life.started_ms,
@@ -296,18 +296,18 @@
     }
 }
 
-impl From<wire::Busy> for (Incarnation, Busy) {
+impl From<wire::Busy> for (Incarnation, Workload) {
     fn from(busy: wire::Busy) -> Self {
         let wire::Busy { server, running, pending_tokens, ordered, heard_ms, unanswered_ms, born } =
             busy;
-        let busy = Busy { running, pending_tokens, ordered, heard_ms, unanswered_ms };
+        let busy = Workload { running, pending_tokens, ordered, heard_ms, unanswered_ms };
         (Incarnation::new(server, born), busy)
     }
 }
 
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
-        let (blocked, blocked_ages_ms) = poison::from_blocked(&digest.blocked);
+        let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
         let busy = digest.busy.into_iter().map(wire::Busy::from);
         let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
             server: life.id,
@@ -360,7 +360,7 @@
         if !digest.cores.is_finite() {
             return Err(Malformed("the digest's VM has no number of cores".into()));
         }
-        let busy = digest.busy.into_iter().map(<(Incarnation, Busy)>::from);
+        let busy = digest.busy.into_iter().map(<(Incarnation, Workload)>::from);
         Ok(Self {
             daemon: digest.daemon,
             address: digest.address,
@@ -381,7 +381,7 @@
             heat: digest.hot_parts.into_iter().zip(digest.hot_work_ms).collect(),
             refused: digest.refused.into_iter().map(Fingerprint).collect(),
             link_moved: digest.link_moved,
-            blocked: poison::to_blocked(digest.blocked, digest.blocked_ages_ms),
+            blocked: poison::blocks_from_wire(digest.blocked, digest.blocked_ages_ms),
             sent: Duration::from_millis(digest.sent_ms),
             named: digest.named.into_iter().map(Naming::from).collect(),
             missed_nothing_for: age(digest.missed_nothing_for),
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -41,20 +41,20 @@
 
 pub use catalog::{Batch, Catalog, Record, Topic};
 pub use figures::Counts;
-pub use frame::{Busy, Digest, Frame, Malformed};
+pub use frame::{Digest, Frame, Malformed, Workload};
 pub use life::Incarnation;
 pub use message::{
-    Arrival, Change, Command, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read, Refused,
-    Report, State, Tracked,
+    Arrival, Change, Command, Dependency, Dispatch, Effect, Key, Loss, Message, OrderEnd, Read,
+    Refusal, Report, State,
 };
 pub use naming::Naming;
 pub use node::{Identity, Node, Policy};
 pub use notice::Notice;
 pub use prompt::{Part, Prompt};
-pub use residency::{EventsRead, Keeper, Place, Stored, Told};
+pub use residency::{CacheEvent, EventBatch, Holder, Location, Update};
 pub use retry::Budget;
 #[cfg(test)]
 pub(crate) use run::Input;
 pub use run::{Control, Fleet};
-pub use scheduling::{Assignment, Progress, Ruling, Step, Submission, Verdict};
+pub use scheduling::{Assignment, Decision, Progress, Step, Submission, Verdict};
 pub use server::{Entry, Server};
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -4,20 +4,20 @@
 
 use slotmap::SlotMap;
 
-use super::admission::{Expected, Turn};
-use super::drain::Drain;
+use super::admission::{Position, Refusals};
+use super::drain::Throughput;
 use super::life::Incarnations;
 use super::load::Load;
 use super::notice::Allowance;
 use super::peer::Peer;
 use super::quotas::Leadership;
 use super::request::Request;
-use super::residency::{Kept, Link, Reading};
+use super::residency::{EventPoll, Link, StoreState};
 use super::rollout::Rollout;
-use super::scheduling::{Ranking, Served};
+use super::scheduling::{Ranking, Submissions};
 use super::{
-    Budget, Catalog, Change, Command, Counts, Effect, Key, Message, Place, Record, Server, Topic,
-    Tracked, server,
+    Budget, Catalog, Change, Command, Counts, Dependency, Effect, Key, Location, Message, Record,
+    Server, Topic, server,
 };
 use crate::lease;
 use crate::placement::Heat;
@@ -77,16 +77,16 @@
     pub(super) pools: BTreeMap<String, Vec<server::Key>>,
     pub(super) requests: BTreeMap<Key, Request>,
     /// The queue of waiting requests, in the order in which they are sent.
-    pub(super) waiting: BTreeSet<Turn>,
+    pub(super) waiting: BTreeSet<Position>,
     /// Rate at which waiting requests are sent, by pool.
-    pub(super) drains: BTreeMap<String, Drain>,
+    pub(super) drains: BTreeMap<String, Throughput>,
     /// Refused callers that may retry.
-    pub(super) expected: Expected,
+    pub(super) expected: Refusals,
     pub(super) budgets: BTreeMap<String, Budget>,
     pub(super) peers: BTreeMap<String, Peer>,
     pub(super) ranking: Ranking,
     /// Requests of other daemons that this one schedules.
-    pub(super) served: Served,
+    pub(super) served: Submissions,
     /// Own requests for which a scheduler's answer is outstanding.
     pub(super) awaiting_scheduler: BTreeSet<Key>,
     /// Load of peers' requests, by server.
@@ -100,14 +100,14 @@
     /// Crashes, suspects and blocks.
     pub(super) poison: poison::State,
     /// Servers that may have crashed while they ran requests.
-    pub(super) crash_watch: poison::Watch,
+    pub(super) crash_watch: poison::Detector,
     pub(super) next_block_expiry: Time,
     /// Recent work by shared part of prompts.
     pub(super) heat: Heat,
     /// Contents of the KV store.
-    pub(super) kv_store: Kept,
+    pub(super) kv_store: StoreState,
     /// Schedule of reading cache events, by engine or KV store.
-    pub(super) event_reads: BTreeMap<Place, Reading>,
+    pub(super) event_reads: BTreeMap<Location, EventPoll>,
     /// The link to the KV store.
     pub(super) kv_link: Link,
     pub(super) lease: lease::State,
@@ -118,12 +118,12 @@
     /// Time of the last failed read of the servers' topic.
     pub(super) servers_down_at: Option<Time>,
     /// Start of the current read failure of each tracked item.
-    pub(super) unread_since: BTreeMap<Tracked, Time>,
+    pub(super) unread_since: BTreeMap<Dependency, Time>,
     /// Time of the last read of each topic from the store.
     pub(super) read_at: BTreeMap<Topic, Time>,
     /// The earliest time of the next scan of the queue, and the turn after which it continues.
     pub(super) next_queue_scan: Time,
-    pub(super) queue_cursor: Option<Turn>,
+    pub(super) queue_cursor: Option<Position>,
     /// Allowance for notices to peers.
     pub(super) notice_allowance: Allowance,
     pub(super) next_digest: Time,
@@ -153,11 +153,11 @@
             requests: BTreeMap::new(),
             waiting: BTreeSet::new(),
             drains: BTreeMap::new(),
-            expected: Expected::default(),
+            expected: Refusals::default(),
             budgets: BTreeMap::new(),
-            peers: Peer::seeds(seeds, identity.address),
+            peers: Peer::from_seeds(seeds, identity.address),
             ranking: Ranking::default(),
-            served: Served::default(),
+            served: Submissions::default(),
             awaiting_scheduler: BTreeSet::new(),
             peer_loads: BTreeMap::new(),
             peer_loads_stale: false,
@@ -165,10 +165,10 @@
             quota: quota::State::new(policy.quota),
             quota_leadership: Leadership::default(),
             poison: poison::State::default(),
-            crash_watch: poison::Watch::default(),
+            crash_watch: poison::Detector::default(),
             next_block_expiry: Time::ZERO,
             heat: Heat::default(),
-            kv_store: Kept::default(),
+            kv_store: StoreState::default(),
             event_reads: BTreeMap::new(),
             kv_link: Link::default(),
             lease,
@@ -197,17 +197,17 @@
         match message {
             Message::Arrive(arrival) => self.arrive(now, *arrival),
             Message::Report { request, attempt, report } => {
-                self.report(now, request, attempt, report);
+                self.handle_report(now, request, attempt, report);
             }
             Message::Leave(request) => self.remove_request(now, request),
-            Message::Read(read) => self.read(now, read),
-            Message::Down(tracked, reason) => self.went_down(now, tracked, &reason),
+            Message::Read(read) => self.handle_read(now, read),
+            Message::Down(tracked, reason) => self.mark_unreadable(now, tracked, &reason),
             Message::Lease(first, records) => self.lease_read(now, first, &records),
             Message::Ordered(server, end) => self.order_ended(now, server, end),
             Message::Polled(server, state) => self.polled(now, server, state),
-            Message::Events(place, read) => self.events_read(now, place, read.as_ref()),
+            Message::Events(place, read) => self.handle_cache_events(now, place, read.as_ref()),
             Message::Probed(victim, answer) => self.probed(now, victim, answer),
-            Message::Frame(frame) => self.frame(now, frame),
+            Message::Frame(frame) => self.handle_frame(now, frame),
             Message::Stop => self.stop(now),
             Message::StopEnds => self.finish_stop(now),
             Message::Tick => self.tick(now),
@@ -238,7 +238,7 @@
             || !self.awaiting_scheduler.is_empty()
             || !self.quota_leadership.undecided.is_empty()
             || self.rollout.is_active()
-            || self.crash_watch.is_pressed()
+            || self.crash_watch.has_probe_due()
     }
 
     /// The offset of the next lease record to read.
@@ -256,7 +256,7 @@
             self.draining = true;
             self.event(Event::StopRequested, Detail::none());
             self.send_digests(now);
-            self.return_waiting(now);
+            self.return_queued_requests(now);
         }
     }
 
@@ -265,7 +265,8 @@
     fn finish_stop(&mut self, now: Time) {
         // Waiting requests end first: else they would be sent to the slots that sent ones free.
         let waiting = self.waiting.iter().map(|turn| turn.key);
-        let at_schedulers = self.requests.iter().filter(|(_, request)| request.is_at_a_scheduler());
+        let at_schedulers =
+            self.requests.iter().filter(|(_, request)| request.is_awaiting_scheduler());
         let at_schedulers = at_schedulers.map(|(key, _)| *key);
         let undecided = self.quota_leadership.undecided.iter().copied();
         let waiting: Vec<Key> = waiting.chain(at_schedulers).chain(undecided).collect();
@@ -283,19 +284,19 @@
     }
 
     fn tick(&mut self, now: Time) {
-        self.look_at_ranking(now);
+        self.update_ranking(now);
         self.update_quota_role(now);
         self.gossip(now);
-        self.look_at_namings(now);
+        self.refresh_namings(now);
         self.read_events(now);
-        self.sum_others(now);
-        self.look_at_unanswered(now);
+        self.sum_peer_load(now);
+        self.check_unanswered(now);
         self.maintain_blocks(now);
-        self.drop_lapsed(now);
-        self.look_at_schedulers(now);
-        self.look_at_served(now);
+        self.remove_lapsed(now);
+        self.check_schedulers(now);
+        self.drop_expired_submissions(now);
         self.roll_out(now);
-        self.pump(now);
+        self.send_waiting(now);
         self.expire(now);
     }
 
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -8,7 +8,8 @@
 use super::request::{Phase, Request};
 use super::{Command, Effect, Frame, Key, Node, Server, server};
 use crate::poison::{
-    Answer, Blocked, Fingerprint, Lost, Message, Probe, Steps, Strike, Suspect, Victim,
+    Answer, Blocked, Disconnect, Endpoint, Fingerprint, Incarnation, Interruption, Message, Probe,
+    Steps,
 };
 use crate::prelude::*;
 
@@ -23,9 +24,9 @@
 
 impl Server {
     /// Its current incarnation under the id that all daemons use for crashes.
-    fn victim(&self) -> Victim {
+    fn victim(&self) -> Incarnation {
         let life = &self.entry.incarnation;
-        Victim::of(&life.id, Some(&life.started_ms.to_string()))
+        Incarnation::of(&life.id, Some(&life.started_ms.to_string()))
     }
 }
 
@@ -38,26 +39,30 @@
             return;
         }
         let pool = server.entry.pool.as_str();
-        let suspect = Suspect {
-            victim: server.victim(),
+        let suspect = Endpoint {
+            incarnation: server.victim(),
             address: server.entry.address,
             pool: xxh3_64(pool.as_bytes()),
             servers: self.pools.get(pool).map_or(0, |keys| keys.len() as u32),
         };
-        let steps = self.crash_watch.lost(now, suspect, Lost { fingerprint, ran });
+        let steps = self.crash_watch.record_disconnect(
+            now,
+            suspect,
+            Disconnect { fingerprint, run_time: ran },
+        );
         self.apply_steps(now, steps);
     }
 
     /// Handles the result of a probe of a server's port.
-    pub(super) fn probed(&mut self, now: Time, victim: Victim, answer: Answer) {
-        let steps = self.crash_watch.answered(now, victim, answer);
+    pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
+        let steps = self.crash_watch.record_probe(now, victim, answer);
         self.apply_steps(now, steps);
     }
 
     /// Handles the removal of a server's registration, or a restart of the server.
     pub(super) fn registration_ended(&mut self, now: Time, server: &Server) {
         if !server.entry.draining {
-            let steps = self.crash_watch.ended(now, server.victim());
+            let steps = self.crash_watch.record_crash(now, server.victim());
             self.apply_steps(now, steps);
         }
     }
@@ -65,33 +70,33 @@
     /// Handles any answer of a server, as a sign that it runs.
     pub(super) fn server_answered(&mut self, now: Time, server: server::Key) {
         if let Some(server) = self.servers.get(server).filter(|_| !self.crash_watch.is_idle()) {
-            self.crash_watch.heard(now, server.victim());
+            self.crash_watch.record_response(now, server.victim());
         }
     }
 
     fn apply_steps(&mut self, now: Time, steps: Steps) {
-        for Probe { victim, address } in steps.probes {
+        for Probe { incarnation: victim, address } in steps.probes {
             self.effects.push(Effect::Probe(victim, address));
         }
-        if steps.strikes.is_empty() {
+        if steps.interruptions.is_empty() {
             return;
         }
-        let present = steps.strikes.iter().map(|strike| strike.fingerprint.to_string());
-        let detail = Detail::of("server", self.server_id(steps.strikes[0].victim))
-            .and("requests", steps.strikes.len())
+        let present = steps.interruptions.iter().map(|strike| strike.fingerprint.to_string());
+        let detail = Detail::of("server", self.server_id(steps.interruptions[0].incarnation))
+            .and("requests", steps.interruptions.len())
             .and("fingerprints", present.collect::<Vec<String>>().join(" "));
         self.event(Event::ServerEnded, detail);
         let mut addresses = self.scheduler_addresses(now);
         if addresses.is_empty() {
-            addresses = self.fresh_addresses(now);
+            addresses = self.fresh_peer_addresses(now);
             self.rng.shuffle(&mut addresses);
             addresses.truncate(MAX_REPORT_PEERS);
         }
-        self.send_poison_message(addresses, Message::Strikes(steps.strikes.clone()));
-        self.record_crashes(now, steps.strikes);
+        self.send_poison_message(addresses, Message::Interruptions(steps.interruptions.clone()));
+        self.record_crashes(now, steps.interruptions);
     }
 
-    fn server_id(&self, victim: Victim) -> String {
+    fn server_id(&self, victim: Incarnation) -> String {
         let known = self.servers.values().find(|server| server.victim() == victim);
         known.map_or_else(String::new, |server| server.entry.incarnation.id.clone())
     }
@@ -105,18 +110,18 @@
     /// Handles a peer's message on crashes and blocks.
     pub(super) fn receive_poison_message(&mut self, now: Time, message: Message) {
         match message {
-            Message::Strikes(strikes) => self.record_crashes(now, strikes),
+            Message::Interruptions(strikes) => self.record_crashes(now, strikes),
             Message::Served(fingerprint) => {
-                let blocked = self.poison.served(now, fingerprint);
+                let blocked = self.poison.clear_suspect(now, fingerprint);
                 self.announce_blocks(now, blocked.unwrap_or_default());
             }
             Message::Blocked(blocked) => self.merge_blocks(now, &blocked),
         }
     }
 
-    fn record_crashes(&mut self, now: Time, strikes: Vec<Strike>) {
-        let is_blocked = |strike: &Strike| self.poison.strike(now, *strike);
-        let blocked: Vec<Strike> = strikes.into_iter().filter(is_blocked).collect();
+    fn record_crashes(&mut self, now: Time, strikes: Vec<Interruption>) {
+        let is_blocked = |strike: &Interruption| self.poison.record_interruption(now, *strike);
+        let blocked: Vec<Interruption> = strikes.into_iter().filter(is_blocked).collect();
         self.announce_blocks(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
     }
 
@@ -125,7 +130,7 @@
         if blocked.is_empty() {
             return;
         }
-        let addresses = self.fresh_addresses(now);
+        let addresses = self.fresh_peer_addresses(now);
         let new = blocked.iter();
         let new = new.map(|block| Blocked { fingerprint: *block, age: Duration::ZERO }).collect();
         self.send_poison_message(addresses, Message::Blocked(new));
@@ -137,7 +142,7 @@
     /// Adopts blocks from peers.
     pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
         for block in blocked {
-            if self.poison.hear(now, *block) {
+            if self.poison.merge_block(now, *block) {
                 self.enforce_block(now, block.fingerprint);
             }
         }
@@ -159,7 +164,7 @@
     /// Refuses a blocked request, or gives it up if it may have run.
     pub(super) fn refuse_blocked(&mut self, now: Time, key: Key) {
         let Some(request) = self.requests.get(&key) else { return };
-        let after = self.poison.left(now, request.arrival.fingerprint);
+        let after = self.poison.block_remaining(now, request.arrival.fingerprint);
         let command = match request.runs {
             0 => Command::Refuse(Code::RequestBlocked, after),
             _ => Command::GiveUp,
@@ -177,7 +182,10 @@
     /// Whether a request that was just lost may be the cause of crashes, including unconfirmed ones.
     pub(super) fn may_crash_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
-        self.poison.is_suspect(fingerprint, self.crash_watch.doubted(now, fingerprint))
+        self.poison.reaches_block_threshold(
+            fingerprint,
+            self.crash_watch.possible_crashes(now, fingerprint),
+        )
     }
 
     fn fingerprint(&self, key: Key) -> Option<Fingerprint> {
@@ -187,7 +195,7 @@
     /// Handles the answer to a request, which clears it of suspicion.
     pub(super) fn request_answered(&mut self, now: Time, key: Key) {
         let Some(fingerprint) = self.fingerprint(key) else { return };
-        if let Some(blocked) = self.poison.served(now, fingerprint) {
+        if let Some(blocked) = self.poison.clear_suspect(now, fingerprint) {
             let addresses = self.scheduler_addresses(now);
             self.send_poison_message(addresses, Message::Served(fingerprint));
             self.announce_blocks(now, blocked);
@@ -211,12 +219,12 @@
 
     /// Probes servers that may have crashed, writes blocks to the store, and removes expired state.
     pub(super) fn maintain_blocks(&mut self, now: Time) {
-        for Probe { victim, address } in self.crash_watch.due(now) {
+        for Probe { incarnation: victim, address } in self.crash_watch.due_probes(now) {
             self.effects.push(Effect::Probe(victim, address));
         }
         if self.is_scheduler(now) {
             let delay = BLOCK_WRITE_STAGGER * self.rank_among_daemons();
-            let due = self.poison.to_write(now.saturating_sub(delay), BLOCK_REWRITE_INTERVAL);
+            let due = self.poison.due_writes(now.saturating_sub(delay), BLOCK_REWRITE_INTERVAL);
             let due =
                 due.into_iter().map(|block| Effect::WriteBlock(block.fingerprint, Some(block.age)));
             self.effects.extend(due);
@@ -235,7 +243,7 @@
 
     /// Handles a block that was read from the platform's store.
     pub(super) fn block_stored(&mut self, now: Time, block: Blocked) {
-        if self.poison.kept(now, block) {
+        if self.poison.add_stored_block(now, block) {
             self.enforce_block(now, block.fingerprint);
         }
     }
@@ -249,9 +257,9 @@
 
     /// Sends the known crashes to daemons that have become schedulers.
     pub(super) fn send_known_crashes(&mut self, now: Time, newcomers: Vec<SocketAddr>) {
-        let strikes = self.poison.strikes(now);
+        let strikes = self.poison.interruptions(now);
         if !strikes.is_empty() {
-            self.send_poison_message(newcomers, Message::Strikes(strikes));
+            self.send_poison_message(newcomers, Message::Interruptions(strikes));
         }
     }
 }
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas of workspaces: choice of the keeper, admission, and exchange of usage between daemons.
 
-use super::peer::{INTERVAL, Peer};
+use super::peer::{DIGEST_INTERVAL, Peer};
 use super::request::{Phase, Request};
 use super::{Digest, Key, Node};
 use crate::prelude::*;
@@ -44,7 +44,7 @@
     fn has_fresh_digest(&self, now: Time) -> bool {
         let timeout = |digest: &Digest| digest.interval * 2 + LENDING_GRACE;
         let timeout = self.digest.as_ref().map(timeout);
-        self.heard.zip(timeout).is_some_and(|(heard, timeout)| now < heard + timeout)
+        self.heard_at.zip(timeout).is_some_and(|(heard, timeout)| now < heard + timeout)
     }
 }
 
@@ -59,7 +59,7 @@
             let wait = if former.is_empty() || stopped { Duration::ZERO } else { KEEPER_TAKEOVER };
             self.quota_leadership.taking_over_until = now + wait;
             self.quota_leadership.keeper = keeper;
-            self.next_digest = self.next_digest.min(now + INTERVAL / 5);
+            self.next_digest = self.next_digest.min(now + DIGEST_INTERVAL / 5);
         }
         let role = self.quota_role(now);
         let is_keeper = matches!(role, Role::Keeper { .. });
@@ -75,7 +75,7 @@
                 request.submissions = 0;
             }
             if !self.submit(now, key) && self.charge_quota(now, key) {
-                self.send_or_wait(now, key);
+                self.send_or_queue(now, key);
             }
         }
     }
@@ -88,7 +88,7 @@
         if knows || request.origin.is_some() || self.draining {
             return false;
         }
-        let until = now + Self::longest_wait(request);
+        let until = now + Self::max_wait(request);
         let may_wait = now < *request.undecided_until.get_or_insert(until);
         if may_wait {
             request.phase = Phase::Waiting(now);
@@ -111,11 +111,11 @@
     fn quota_role(&self, now: Time) -> Role {
         let id = &self.identity.id;
         if !self.is_scheduler(now) {
-            return Role::Other { daemons: self.daemons() };
+            return Role::Other { daemons: self.daemon_count() };
         }
         let lenders = self.peers.values().filter(|peer| peer.lends_to(now, id)).count();
         // Other daemons notice first that the former keeper has ended, since their requests to it fail.
-        let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemons();
+        let is_keeper = self.quota_leadership.keeper == *id || lenders * 2 > self.daemon_count();
         if !is_keeper {
             let keeper = self.peers.get(&self.quota_leadership.keeper);
             return Role::Deputy {
@@ -131,8 +131,8 @@
     /// Number of daemons that have a share. If most daemons are heard, those that have long been silent have none;
     /// on the other side of a partition, they are a minority.
     fn lending_daemons(&self, now: Time) -> usize {
-        let daemons = self.daemons();
-        let is_silent = |peer: &&Peer| now >= peer.heard.unwrap_or_default() + PEER_SILENCE_MAX;
+        let daemons = self.daemon_count();
+        let is_silent = |peer: &&Peer| now >= peer.heard_at.unwrap_or_default() + PEER_SILENCE_MAX;
         let silent = self.peers.values().filter(is_silent).count();
         let heard = daemons.saturating_sub(silent).max(1);
         if heard * 2 > daemons { heard } else { daemons }
@@ -162,8 +162,8 @@
         if request.runs > 0 || request.counted > 0 {
             return true;
         }
-        let longest = Self::longest_absence(now, request);
-        let in_time = Self::longest_wait(request).min(longest);
+        let longest = Self::max_retry_after(now, request);
+        let in_time = Self::max_wait(request).min(longest);
         let (is_back, fingerprint) = (request.returned, request.arrival.fingerprint);
         let ask = Ask { workspace: &workspace, quota, units, is_back, in_time };
         match self.quota.let_in(now, ask) {
@@ -175,11 +175,11 @@
             }
             Err(_) if self.wait_for_keeper(now, key) => false,
             Err(over) => {
-                let after = self.spread(over.after.unwrap_or(longest / 2)).min(longest);
+                let after = self.with_jitter(over.after.unwrap_or(longest / 2)).min(longest);
                 self.log_over_quota(key, &workspace, quota, units, over);
-                self.refuse_until(now, key, Code::OverQuota, after);
+                self.refuse_with_retry_after(now, key, Code::OverQuota, after);
                 if over.after.is_none() {
-                    self.expected.forget(fingerprint);
+                    self.expected.remove(fingerprint);
                 }
                 false
             }
--- a/src/fleet/reports.rs
+++ b/src/fleet/reports.rs
@@ -2,11 +2,11 @@
 
 use super::request::Phase;
 use super::scheduling::Stage;
-use super::{Key, Loss, Node, Refused, Report, server};
+use super::{Key, Loss, Node, Refusal, Report, server};
 use crate::prelude::*;
 
 impl Node {
-    pub(super) fn report(&mut self, now: Time, key: Key, attempt: u32, report: Report) {
+    pub(super) fn handle_report(&mut self, now: Time, key: Key, attempt: u32, report: Report) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         if request.sends != attempt {
             return;
@@ -19,13 +19,13 @@
         match report {
             Report::Begun(weights) => {
                 if let (Some(model), Some(version)) = (model, weights) {
-                    self.saw_weights(now, server, &model, version);
+                    self.note_weights(now, server, &model, version);
                 }
-                self.heard(now, server);
-                self.begun(now, key, server, tokens, begun, at);
+                self.note_response(now, server);
+                self.answer_begun(now, key, server, tokens, begun, at);
             }
             Report::Ended => {
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.request_answered(now, key);
                 if let Some(server) = self.servers.get_mut(server) {
                     server.record_success();
@@ -36,7 +36,7 @@
                 request.runs -= 1;
                 self.counts.declined += 1;
                 self.log_declined(key, server, refused);
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.note_refusal(now, server, model.as_deref(), refused);
                 self.retry_unexecuted(now, key, true, Code::QueueFull);
             }
@@ -59,20 +59,20 @@
             Report::Failed => {
                 self.counts.failed += 1;
                 self.log_failed(key, server, "it answered with a failure of its own");
-                self.heard(now, server);
+                self.note_response(now, server);
                 self.retry_or_give_up(now, key);
             }
         }
     }
 
-    pub(super) fn heard(&mut self, now: Time, server: server::Key) {
+    pub(super) fn note_response(&mut self, now: Time, server: server::Key) {
         self.server_answered(now, server);
         if let Some(server) = self.servers.get_mut(server) {
             server.last_answer_at = Some(now);
         }
     }
 
-    pub(super) fn begun(
+    pub(super) fn answer_begun(
         &mut self,
         now: Time,
         key: Key,
@@ -87,7 +87,7 @@
         self.log_begun(now, key, at);
         if let Some(cost_ms) = self.requests.get(&key).and_then(|request| request.fetch_cost_ms) {
             let waited_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-            self.kv_link.saw_delay(now, waited_ms - cost_ms);
+            self.kv_link.record_delay(now, waited_ms - cost_ms);
         }
         if let Some(server) = self.servers.get_mut(server) {
             server.pending_tokens = server.pending_tokens.saturating_sub(tokens);
@@ -95,7 +95,7 @@
         if let Some(request) = self.requests.get_mut(&key) {
             request.phase = Phase::Sent { server, tokens, begun: true, at };
         }
-        self.notice(now, server, tokens, Vec::new());
+        self.send_notice(now, server, tokens, Vec::new());
     }
 
     pub(super) fn note_refusal(
@@ -103,15 +103,15 @@
         now: Time,
         key: server::Key,
         model: Option<&str>,
-        refused: Refused,
+        refused: Refusal,
     ) {
-        if let (Refused::Weights(Some(version)), Some(model)) = (refused, model) {
-            return self.saw_weights(now, key, model, version);
+        if let (Refusal::Weights(Some(version)), Some(model)) = (refused, model) {
+            return self.note_weights(now, key, model, version);
         }
         if let Some(server) = self.servers.get_mut(key) {
             match refused {
-                Refused::Gone => server.record_failure(now),
-                Refused::Busy | Refused::Weights(_) => server.refused(now),
+                Refusal::Gone => server.record_failure(now),
+                Refusal::Busy | Refusal::Weights(_) => server.refused(now),
             }
         }
     }
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 
-use super::{Arrival, Command, Effect, Key, Message, Node, Topic, Tracked};
+use super::{Arrival, Command, Dependency, Effect, Key, Message, Node, Topic};
 use crate::clock::Clock;
 use crate::peer::Links;
 use crate::prelude::*;
@@ -47,8 +47,8 @@
     next_lease_offset: AtomicU64,
     /// The offset up to which all records are known, by topic.
     end_offsets: [AtomicU64; Topic::ALL.len()],
-    /// Read schedules of the tracked items, in the order of [`Tracked::ALL`].
-    read_schedules: [ReadSchedule; Tracked::ALL.len()],
+    /// Read schedules of the tracked items, in the order of [`Dependency::ALL`].
+    read_schedules: [ReadSchedule; Dependency::ALL.len()],
 }
 
 /// Schedule on which a tracked item is read.
@@ -168,26 +168,26 @@
     }
 
     /// Time from a read that returned records to the next.
-    pub fn read_interval(&self, tracked: Tracked) -> Duration {
+    pub fn read_interval(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.read_schedule(tracked).interval_ms.load(Ordering::Acquire))
     }
 
     /// Time for which a read may wait for a record.
-    pub fn max_read_wait(&self, tracked: Tracked) -> Duration {
+    pub fn max_read_wait(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.read_schedule(tracked).max_wait_ms.load(Ordering::Acquire))
     }
 
     /// Time from a failed read to the next.
-    pub fn read_retry_delay(&self, tracked: Tracked) -> Duration {
+    pub fn read_retry_delay(&self, tracked: Dependency) -> Duration {
         Duration::from_millis(self.read_schedule(tracked).retry_delay_ms.load(Ordering::Acquire))
     }
 
     /// Whether this daemon reads the tracked item itself.
-    pub fn should_read(&self, tracked: Tracked) -> bool {
+    pub fn should_read(&self, tracked: Dependency) -> bool {
         !self.read_schedule(tracked).delegated.load(Ordering::Acquire)
     }
 
-    fn read_schedule(&self, tracked: Tracked) -> &ReadSchedule {
+    fn read_schedule(&self, tracked: Dependency) -> &ReadSchedule {
         &self.view.read_schedules[tracked.index()]
     }
 }
@@ -296,12 +296,12 @@
 
     fn publish_read_schedules(&self, now: Time) {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        for tracked in Tracked::ALL {
+        for tracked in Dependency::ALL {
             let schedule = self.control.read_schedule(tracked);
-            schedule.delegated.store(!self.node.reads(now, tracked), Ordering::Release);
-            schedule.interval_ms.store(ms(self.node.pace(now, tracked)), Ordering::Release);
-            schedule.max_wait_ms.store(ms(self.node.wait(now, tracked)), Ordering::Release);
-            schedule.retry_delay_ms.store(ms(self.node.pause()), Ordering::Release);
+            schedule.delegated.store(!self.node.should_read(now, tracked), Ordering::Release);
+            schedule.interval_ms.store(ms(self.node.read_interval(now, tracked)), Ordering::Release);
+            schedule.max_wait_ms.store(ms(self.node.max_read_wait(now, tracked)), Ordering::Release);
+            schedule.retry_delay_ms.store(ms(self.node.retry_delay()), Ordering::Release);
         }
     }
 
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::Incarnation;
-use super::residency::Held;
+use super::residency::Residency;
 use crate::prelude::*;
 
 slotmap::new_key_type! {
@@ -73,7 +73,7 @@
     /// When its registration was last missing during or after an outage of the store.
     pub unconfirmed_removal_at: Option<Time>,
     /// The parts of prompts in its cache.
-    pub(super) residency: Held,
+    pub(super) residency: Residency,
     failures: u32,
     backoff_until: Time,
 }
@@ -89,7 +89,7 @@
             unanswered_since: None,
             order: None,
             unconfirmed_removal_at: None,
-            residency: Held::default(),
+            residency: Residency::default(),
             failures: 0,
             backoff_until: Time::ZERO,
         }
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -42,7 +42,7 @@
 #[test]
 fn named_after_an_outage_that_swallowed_all_reads() {
     let mut site = Site::new(3, &[("e-1", OLD)]);
-    let failed = || Message::Down(Tracked::Topic(Topic::Operator), "no answer".into());
+    let failed = || Message::Down(Dependency::Topic(Topic::Operator), "no answer".into());
     site.daemons[0].hear_store(site.now);
     site.pass(ms(400));
     for daemon in &mut site.daemons[1..] {
@@ -67,7 +67,7 @@
     let end = named_at + POLICY.weights_limit;
     site.pass(end + ms(100) - site.now);
     let true_age = site.now - named_at;
-    let ages = site.daemons.iter().map(|daemon| daemon.node.overtaken_for(site.now, "m", 1));
+    let ages = site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
     let ages: Vec<Option<Duration>> = ages.collect();
     for index in 0..3 {
         site.arrive(index, "engines", Repeat::AtMostOnce);
@@ -91,7 +91,7 @@
     }
     daemon.hear_store(ms(4_000));
     let named_at = ms(4_050);
-    let failed = Message::Down(Tracked::Topic(Topic::Operator), "reset".into());
+    let failed = Message::Down(Dependency::Topic(Topic::Operator), "reset".into());
     daemon.node.apply(ms(4_060), failed);
     for time in (4_060..5_950).step_by(50) {
         daemon.tick(ms(time));
@@ -108,7 +108,7 @@
         now += ms(20);
         recalled |= is_given_up(&daemon.tick(now));
     }
-    let believed = daemon.node.overtaken_for(now, "m", 1);
+    let believed = daemon.node.superseded_for(now, "m", 1);
     assert!(recalled, "not begun {:?} after the naming, believed {believed:?}", now - named_at);
 }
 
@@ -186,7 +186,7 @@
         };
     }
     let sent = send(&mut daemon, ms(12_400)).1;
-    let believed = daemon.node.overtaken_for(ms(12_400), "m", 1);
+    let believed = daemon.node.superseded_for(ms(12_400), "m", 1);
     assert_eq!(sent, None, "{:?} after the naming, believed {believed:?}", ms(12_400) - named_at);
 }
 
@@ -205,7 +205,7 @@
             peer.node.apply(ms(time), Message::Frame(frame));
         }
         if time == 4_000 {
-            let failed = Message::Down(Tracked::Topic(Topic::Operator), "refused".into());
+            let failed = Message::Down(Dependency::Topic(Topic::Operator), "refused".into());
             daemon.node.apply(ms(time), failed);
         }
     }
@@ -228,6 +228,6 @@
         daemon.tick(ms(time));
     }
     let sent = send(&mut daemon, ms(12_800)).1;
-    let believed = daemon.node.overtaken_for(ms(12_800), "m", 1);
+    let believed = daemon.node.superseded_for(ms(12_800), "m", 1);
     assert_eq!(sent, None, "{:?} after the naming, believed {believed:?}", ms(12_800) - named_at);
 }
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -31,7 +31,7 @@
 #[test]
 fn registration_lapsed_in_an_outage_is_kept_until_it_could_be_renewed() {
     let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
-    let down = Message::Down(Tracked::Topic(Topic::Servers), "down".into());
+    let down = Message::Down(Dependency::Topic(Topic::Servers), "down".into());
     daemon.node.apply(ms(1_000), down);
     daemon.put(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
     assert_eq!(request_commands(&mut daemon, ms(1_600)).len(), 1);
@@ -103,9 +103,12 @@
 }
 
 fn store_events(salt: &str, parts: &[u64], epoch: u64) -> Message {
-    let change = |part: &u64| Stored { salt: salt.into(), part: *part, tokens: 4_000 };
+    let change = |part: &u64| CacheEvent { salt: salt.into(), part: *part, tokens: 4_000 };
     let changes = parts.iter().map(change).collect();
-    Message::Events(Place::Store, Some(EventsRead { epoch, next: 0, lost: false, changes }))
+    Message::Events(
+        Location::Store,
+        Some(EventBatch { epoch, next: 0, has_gap: false, events: changes }),
+    )
 }
 
 #[test]
@@ -129,7 +132,7 @@
 fn kv_store_that_is_down_is_not_used() {
     let mut daemon = Daemon::with(1, &ENGINES);
     daemon.node.apply(ms(900), store_events("1", &[7, 3], 1));
-    daemon.node.apply(ms(1_000), Message::Events(Place::Store, None));
+    daemon.node.apply(ms(1_000), Message::Events(Location::Store, None));
     let sent = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(sent.save_to, None);
     // Another engine may have the parts.
@@ -220,7 +223,7 @@
     daemon: &mut Daemon,
     now: Time,
     last: u8,
-    busy: &[(&str, Busy)],
+    busy: &[(&str, Workload)],
     heat: &[(u64, f32)],
 ) {
     let digest = Digest {
@@ -237,7 +240,7 @@
 fn full_home_stays_the_home_and_others_fetch_from_it() {
     let mut daemon = daemon_with_sixteen_engines(1);
     let home = send(&mut daemon, ms(10), None, 3);
-    let full = Busy { running: 48, ..Busy::default() };
+    let full = Workload { running: 48, ..Workload::default() };
     receive_digest(&mut daemon, ms(20), 2, &[(home.server.as_str(), full)], &[]);
     let spilled = send(&mut daemon, ms(30), None, 3);
     assert_ne!(spilled.server, home.server);
@@ -253,7 +256,7 @@
     for last in [1, 2, 3] {
         let mut daemon = daemon_with_sixteen_engines(last);
         let home = send(&mut daemon, ms(10), None, 3).server;
-        let loading = Busy { ordered: true, ..Busy::default() };
+        let loading = Workload { ordered: true, ..Workload::default() };
         receive_digest(&mut daemon, ms(20), 9, &[(home.as_str(), loading)], &[]);
         let sent = send(&mut daemon, ms(30), None, 3).server;
         assert_ne!(sent, home);
@@ -316,10 +319,10 @@
 /// Delivers events by which the KV store has these parts and the engines have none.
 fn receive_events(daemon: &mut Daemon, now: Time, parts: &[u64]) {
     daemon.node.apply(now, store_events("1", parts, 1));
-    let nothing = EventsRead { epoch: 1, next: 0, lost: false, changes: Vec::new() };
+    let nothing = EventBatch { epoch: 1, next: 0, has_gap: false, events: Vec::new() };
     let engines: Vec<server::Key> = daemon.node.servers.keys().collect();
     for engine in engines {
-        let message = Message::Events(Place::Engine(engine), Some(nothing.clone()));
+        let message = Message::Events(Location::Engine(engine), Some(nothing.clone()));
         daemon.node.apply(now, message);
     }
 }
--- a/src/fleet/tests/store.rs
+++ b/src/fleet/tests/store.rs
@@ -106,7 +106,7 @@
 /// How one daemon follows one topic, or the lease.
 #[derive(Debug)]
 pub struct Watch {
-    tracked: Tracked,
+    tracked: Dependency,
     next: Option<u64>,
     wait: Duration,
     rests_until: Time,
@@ -114,8 +114,8 @@
 }
 
 impl Watch {
-    pub fn new(tracked: Tracked) -> Self {
-        let next = (tracked == Tracked::Lease).then_some(0);
+    pub fn new(tracked: Dependency) -> Self {
+        let next = (tracked == Dependency::Lease).then_some(0);
         Self { tracked, next, wait: Duration::ZERO, rests_until: Time::ZERO, ask: None }
     }
 
@@ -158,15 +158,15 @@
     }
 
     fn ask(&mut self, now: Time, node: &Node, delay: Duration) {
-        if self.next.is_some() && !node.reads(now, self.tracked) {
+        if self.next.is_some() && !node.should_read(now, self.tracked) {
             self.wait = Duration::ZERO;
             self.rests_until = now + LEFT_PAUSE;
             return;
         }
         let from = match self.tracked {
             // What peers told needs no reading.
-            Tracked::Topic(topic) => self.next.map(|next| next.max(node.end_offset(topic))),
-            Tracked::Lease => Some(node.next_lease_offset()),
+            Dependency::Topic(topic) => self.next.map(|next| next.max(node.end_offset(topic))),
+            Dependency::Lease => Some(node.next_lease_offset()),
         };
         let limit = now + ANSWER + self.wait;
         let (arrives, waits_until) = (now + delay, now + delay + self.wait);
@@ -186,7 +186,7 @@
         let (records, whole, to) = match answer {
             Answer::Failed => {
                 self.wait = Duration::ZERO;
-                self.rests_until = now + node.pause();
+                self.rests_until = now + node.retry_delay();
                 return Some(Message::Down(self.tracked, "no answer".into()));
             }
             Answer::Forgotten => {
@@ -196,8 +196,8 @@
             Answer::Lease(records) => {
                 let any = records.is_empty() && node.next_lease_offset() == 0;
                 self.rests_until =
-                    now + if any { STORE_PAUSE } else { node.pace(now, self.tracked) };
-                self.wait = node.wait(now, self.tracked);
+                    now + if any { STORE_PAUSE } else { node.read_interval(now, self.tracked) };
+                self.wait = node.max_read_wait(now, self.tracked);
                 return Some(Message::Lease(0, records));
             }
             Answer::Whole(records, to) => (records, true, to),
@@ -206,13 +206,13 @@
                 (records, false, to)
             }
         };
-        let Tracked::Topic(topic) = self.tracked else { return None };
+        let Dependency::Topic(topic) = self.tracked else { return None };
         self.rests_until += match (records.is_empty(), to) {
-            (false, _) => node.pace(now, self.tracked),
+            (false, _) => node.read_interval(now, self.tracked),
             (true, 0) => STORE_PAUSE,
             (true, _) => Duration::ZERO,
         };
-        (self.next, self.wait) = (Some(to), node.wait(now, self.tracked));
+        (self.next, self.wait) = (Some(to), node.max_read_wait(now, self.tracked));
         let batch = Batch { topic, from: from.unwrap_or_default(), to, records };
         Some(Message::Read(Read { batch, whole, asked }))
     }
@@ -223,13 +223,13 @@
     fn look(
         &mut self,
         now: Time,
-        tracked: Tracked,
+        tracked: Dependency,
         store: &Store,
         delay: &mut impl FnMut() -> Duration,
     ) -> Option<Answer> {
         let topic = match (tracked, self.from) {
-            (Tracked::Topic(topic), _) => topic,
-            (Tracked::Lease, from) => {
+            (Dependency::Topic(topic), _) => topic,
+            (Dependency::Lease, from) => {
                 let from = usize::try_from(from.unwrap_or_default()).unwrap_or(usize::MAX);
                 let texts = store.lease.iter().cloned();
                 let records: Vec<_> = (0..).zip(texts).skip(from).collect();
