--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -299,8 +299,12 @@
         for tracked in Dependency::ALL {
             let schedule = self.control.read_schedule(tracked);
             schedule.delegated.store(!self.node.should_read(now, tracked), Ordering::Release);
-            schedule.interval_ms.store(ms(self.node.read_interval(now, tracked)), Ordering::Release);
-            schedule.max_wait_ms.store(ms(self.node.max_read_wait(now, tracked)), Ordering::Release);
+            schedule
+                .interval_ms
+                .store(ms(self.node.read_interval(now, tracked)), Ordering::Release);
+            schedule
+                .max_wait_ms
+                .store(ms(self.node.max_read_wait(now, tracked)), Ordering::Release);
             schedule.retry_delay_ms.store(ms(self.node.retry_delay()), Ordering::Release);
         }
     }
