--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -98,13 +98,13 @@
     /// Applies a changed registration.
     pub fn update(&mut self, entry: Entry) {
         self.unconfirmed_removal_at = None;
-        let leaving = self.entry.draining || entry.draining;
+        let draining = self.entry.draining || entry.draining;
         for (model, version) in &entry.weights {
             self.weights_loaded(model, *version);
         }
         let weights = std::mem::take(&mut self.entry.weights);
         let sequence = self.entry.sequence.max(entry.sequence);
-        self.entry = Entry { draining: leaving, weights, sequence, ..entry };
+        self.entry = Entry { draining, weights, sequence, ..entry };
     }
 
     /// Records that the server has loaded this version. Loading a newer version clears its cache.
