--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -79,7 +79,7 @@
         zone: format!("zone-{}", index % 36),
         standing: Standing::Live,
     };
-    let effects = node.apply(Duration::ZERO, Message::Vms((0..servers).map(vm).collect()));
+    let effects = node.apply(Duration::ZERO, Message::VmList((0..servers).map(vm).collect()));
     let polls = effects.into_iter().filter_map(|effect| match effect {
         cardamomvalve::control::Effect::Poll { server, .. } => Some(server),
         _ => None,
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -9,7 +9,7 @@
 use super::options::Publish;
 use super::{check, pretty};
 use crate::clients::log;
-use crate::control::{Appended, Stream};
+use crate::control::{AppendResult, Stream};
 use crate::manifest::{Body, FORMAT, Record, State, Verdict, difference};
 use crate::prelude::*;
 
@@ -40,7 +40,7 @@
     let record = Record { format: FORMAT, id: race.id.clone(), body };
     match log::append(address, Stream::Manifest, record.encode()).await {
         Ok(offset) => read_back(options, &mut race, replaces, Some(offset)).await,
-        Err(Appended::Refused) => {
+        Err(AppendResult::Refused) => {
             Err(Error::new(Code::LogUnreachable, format!("{address}: it took no record")))
         }
         Err(_) => read_back(options, &mut race, replaces, None).await,
--- a/src/clients/log.rs
+++ b/src/clients/log.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{LIMITS, read_json};
-use crate::control::{Appended, Read, Record, Stream};
+use crate::control::{AppendResult, Read, Record, Stream};
 use crate::http::client::{Failure, Stage, send_json};
 use crate::prelude::*;
 
@@ -76,18 +76,22 @@
 }
 
 /// Appends a record to `stream`; on success its offset.
-pub async fn append(address: SocketAddr, stream: Stream, text: String) -> Result<u64, Appended> {
+pub async fn append(
+    address: SocketAddr,
+    stream: Stream,
+    text: String,
+) -> Result<u64, AppendResult> {
     let path = format!("/streams/{}/records", stream.as_str());
     match send_json(address, Method::Post, &path, Some(text), LIMITS).await {
         Ok((StatusCode::Created, body)) => {
             let landed: Result<Landed, _> = serde_json::from_slice(&body);
-            landed.map(|landed| landed.offset).map_err(|_| Appended::Unknown)
+            landed.map(|landed| landed.offset).map_err(|_| AppendResult::Unknown)
         }
         Ok((StatusCode::TooManyRequests | StatusCode::ServiceUnavailable, _)) => {
-            Err(Appended::Refused)
+            Err(AppendResult::Refused)
         }
-        Ok(_) => Err(Appended::Unknown),
-        Err(Failure { stage: Stage::Unsent, .. }) => Err(Appended::Refused),
-        Err(Failure { stage: Stage::Sent, .. }) => Err(Appended::Unknown),
+        Ok(_) => Err(AppendResult::Unknown),
+        Err(Failure { stage: Stage::Unsent, .. }) => Err(AppendResult::Refused),
+        Err(Failure { stage: Stage::Sent, .. }) => Err(AppendResult::Unknown),
     }
 }
--- a/src/control/arrivals.rs
+++ b/src/control/arrivals.rs
@@ -11,7 +11,7 @@
         self.budget.earn();
         let request = arrival.request;
         let claim = arrival.claim.clone();
-        if self.force().is_none() {
+        if self.manifest_in_force().is_none() {
             return self.command(request, Command::Refuse(Code::NoManifest.into()));
         }
         let phase = if claim.is_some() { Phase::Claiming } else { Phase::Waiting };
@@ -47,18 +47,18 @@
         let Some(limits) = self.pool_limits(&pool) else {
             return self.release_and_refuse(now, request, Code::NoServer.into());
         };
-        let servers = self.usable(now, request).count();
-        if servers == 0 && self.is_unheard(request) {
-            if self.unheard.len() >= limits.max_waiting as usize {
+        let servers = self.usable_servers(now, request).count();
+        if servers == 0 && self.may_be_served_later(request) {
+            if self.awaiting_reports.len() >= limits.max_waiting as usize {
                 return self.release_and_refuse(now, request, queue_full(0.0));
             }
-            self.unheard.insert(request);
-            return self.ask_engines(now, &pool);
+            self.awaiting_reports.insert(request);
+            return self.poll_awaited_engines(now, &pool);
         }
         if servers == 0 {
             return self.release_and_refuse(now, request, Code::NoServer.into());
         }
-        let hold_ms = self.paces.entry(pool.clone()).or_default().hold_ms;
+        let hold_ms = self.averages.entry(pool.clone()).or_default().hold_ms;
         let queue = self.queues.entry(pool.clone()).or_default();
         let slots = servers as f64 * f64::from(limits.max_in_flight);
         let wait_ms = queue.ahead(entry.priority) as f64 * hold_ms / slots;
@@ -75,26 +75,26 @@
             }
             Err(Full) => return self.release_and_refuse(now, request, queue_full(wait_ms)),
         }
-        self.pump(now, &pool);
+        self.dispatch_waiting(now, &pool);
     }
 
     /// Whether an engine may have the weights that the request needs though it did not report them: engines
     /// load them up to the moment at which they come into force, and a report tells of when it was asked for.
-    fn is_unheard(&self, request: attempt::Key) -> bool {
+    fn may_be_served_later(&self, request: attempt::Key) -> bool {
         let Some(state) = self.requests.get(&request) else { return false };
         let mut servers = self.membership.pool(&state.arrival.pool);
-        servers.any(|(_, server)| server.is_awaited_since(self.force_since))
+        servers.any(|(_, server)| server.is_awaited_since(self.in_force_since))
     }
 
     /// Looks again at the requests that wait for engines' reports.
-    pub(super) fn admit_unheard(&mut self, now: Time) {
-        for request in std::mem::take(&mut self.unheard) {
+    pub(super) fn retry_admission(&mut self, now: Time) {
+        for request in std::mem::take(&mut self.awaiting_reports) {
             self.admit(now, request);
         }
     }
 
     fn pool_limits(&self, pool: &str) -> Option<crate::manifest::Pool> {
-        self.force()?.manifest.pools.get(pool).cloned()
+        self.manifest_in_force()?.manifest.pools.get(pool).cloned()
     }
 
     pub(super) fn expire_requests(&mut self, now: Time) {
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -13,22 +13,22 @@
 use crate::prelude::*;
 
 /// Engine time a second that one copy of a first level is meant to carry, in milliseconds.
-const COPY_CARRIES_MS: f64 = 500.0;
+const COPY_LOAD_MS_PER_S: f64 = 500.0;
 /// Milliseconds of engine time assumed for one answer token.
 const ANSWER_TOKEN_MS: f64 = 2.0;
 
 impl Node {
     /// Digests of peers that are still fresh.
-    pub(super) fn fresh_peers(&self, now: Time) -> impl Iterator<Item = &peer::Digest> {
+    pub(super) fn live_peers(&self, now: Time) -> impl Iterator<Item = &peer::Digest> {
         let lifetime = self.policy.digest_lifetime;
         self.peers
             .values()
-            .filter(move |peer| now.saturating_sub(peer.at) < lifetime)
+            .filter(move |peer| now.saturating_sub(peer.received_at) < lifetime)
             .map(|peer| &peer.digest)
     }
 
     /// Servers that may be given `request` now.
-    pub(super) fn usable(
+    pub(super) fn usable_servers(
         &self,
         now: Time,
         request: attempt::Key,
@@ -37,22 +37,31 @@
         state.into_iter().flat_map(move |state| {
             self.membership
                 .pool(&state.arrival.pool)
-                .filter(move |(_, server)| fits(now, state, server))
+                .filter(move |(_, server)| is_eligible(now, state, server))
         })
     }
 
     /// The candidates for `request` with their costs, the best first. Servers that failed it
     /// before are left out as long as there are others.
-    pub(super) fn score(&self, now: Time, request: attempt::Key, free_only: bool) -> Vec<Scored> {
+    pub(super) fn score_candidates(
+        &self,
+        now: Time,
+        request: attempt::Key,
+        free_only: bool,
+    ) -> Vec<Scored> {
         let Some(state) = self.requests.get(&request) else {
             return Vec::new();
         };
-        let usable: Vec<(membership::Key, &Server)> = self.usable(now, request).collect();
+        let usable: Vec<(membership::Key, &Server)> = self.usable_servers(now, request).collect();
         let untried: Vec<(membership::Key, &Server)> =
             usable.iter().copied().filter(|(key, _)| !state.failed.contains(key)).collect();
         let mut servers = if untried.is_empty() { usable } else { untried };
-        self.poison.avoid_other_suspects(state.arrival.fingerprint, self.running(), &mut servers);
-        let depth = self.depth(now, &state.arrival.prefix);
+        self.poison.avoid_other_suspects(
+            state.arrival.fingerprint,
+            self.running_requests(),
+            &mut servers,
+        );
+        let depth = self.cached_depth(now, &state.arrival.prefix);
         let candidates: Vec<Candidate> = servers
             .iter()
             .map(|(key, server)| self.candidate(now, state, &depth, *key, server))
@@ -65,20 +74,20 @@
             prefix: &state.arrival.prefix,
             tokens: state.arrival.tokens,
             objective,
-            copies: self.copies(now, state.arrival.prefix.level(0), candidates.len()),
-            held: self.held(&depth),
+            copies: self.max_copies(now, state.arrival.prefix.level(0), candidates.len()),
+            held: self.max_reachable_depth(&depth),
             free_only,
         };
         choose(ask, &candidates)
     }
 
     /// Leading blocks that each server holds or, by peers' digests, soon will.
-    pub(super) fn depth(&self, now: Time, prefix: &Prefix) -> Depth {
+    pub(super) fn cached_depth(&self, now: Time, prefix: &Prefix) -> Depth {
         let mut depth = self.residency.depth(&prefix.blocks);
         let (Some(level), Some(end)) = (prefix.level(0), prefix.levels.first()) else {
             return depth;
         };
-        let copies = self.fresh_peers(now).flat_map(|digest| &digest.copies);
+        let copies = self.live_peers(now).flat_map(|digest| &digest.copies);
         for copy in copies.filter(|copy| copy.level == level) {
             let Some(key) = self.membership.find(&copy.server) else { continue };
             let server = self.membership.get(key);
@@ -91,7 +100,7 @@
     }
 
     /// Most leading blocks at any engine that answers, leaving ones included.
-    fn held(&self, depth: &Depth) -> usize {
+    fn max_reachable_depth(&self, depth: &Depth) -> usize {
         let answers =
             |key: &membership::Key| self.membership.get(*key).is_some_and(Server::is_reachable);
         depth.iter().filter(|(key, _)| answers(key)).map(|(_, held)| *held).max().unwrap_or(0)
@@ -106,15 +115,15 @@
         server: &Server,
     ) -> Candidate {
         let arrival = &state.arrival;
-        let busy = self.fleet_busy(now, key, &server.vm.id);
-        let force = self.force();
+        let busy = self.total_load(now, key, &server.vm.id);
+        let force = self.manifest_in_force();
         let limit = force
             .and_then(|force| force.manifest.pools.get(&arrival.pool))
             .map_or(1, |pool| pool.max_in_flight);
         let free = busy.requests < admission::slots(arrival.priority, limit);
         let token_ms = 1_000.0 / f64::from(server.load.prefill_tokens_per_s);
         let queued = server.load.queued_tokens.max(u64::from(busy.pending_tokens));
-        let hold_ms = self.paces.get(&arrival.pool).copied().unwrap_or_default().hold_ms;
+        let hold_ms = self.averages.get(&arrival.pool).copied().unwrap_or_default().hold_ms;
         let slot_ms = if free { 0.0 } else { hold_ms / f64::from(limit.max(1)) };
         let queue_ms = match server.vm.role {
             Role::ServiceServer => f64::from(busy.requests) * hold_ms / f64::from(limit.max(1)),
@@ -133,9 +142,9 @@
     }
 
     /// Work at a server from this daemon and, by their digests, from its peers.
-    pub(super) fn fleet_busy(&self, now: Time, key: membership::Key, id: &str) -> peer::Busy {
+    pub(super) fn total_load(&self, now: Time, key: membership::Key, id: &str) -> peer::Busy {
         let mut sum = self.busy.get(&key).copied().unwrap_or_default();
-        for digest in self.fresh_peers(now) {
+        for digest in self.live_peers(now) {
             if let Some(busy) = digest.busy.get(id) {
                 sum.requests = sum.requests.saturating_add(busy.requests);
                 sum.pending_tokens = sum.pending_tokens.saturating_add(busy.pending_tokens);
@@ -145,22 +154,22 @@
     }
 
     /// How many servers may hold a copy of `level`, by the work it brings over all daemons.
-    fn copies(&self, now: Time, level: Option<Key>, servers: usize) -> usize {
+    fn max_copies(&self, now: Time, level: Option<Key>, servers: usize) -> usize {
         let Some(level) = level else { return servers };
         let peers: f64 = self
-            .fresh_peers(now)
+            .live_peers(now)
             .flat_map(|digest| &digest.heat)
             .filter(|(key, _)| *key == level)
             .map(|(_, rate)| rate)
             .sum();
         let work_ms = self.heat.rate(now, level) + peers;
-        let copies = (work_ms / COPY_CARRIES_MS).ceil().max(1.0);
+        let copies = (work_ms / COPY_LOAD_MS_PER_S).ceil().max(1.0);
         (copies as usize).min(servers.max(1))
     }
 
     /// Notes that a request was dispatched: its slot, its prefill, the heat of its first level,
     /// and the blocks that its server will hold.
-    pub(super) fn note_work(
+    pub(super) fn record_dispatch(
         &mut self,
         now: Time,
         server: membership::Key,
@@ -185,19 +194,19 @@
     }
 
     /// Notes that a server has computed a request's prompt.
-    pub(super) fn prompt_computed(&mut self, server: membership::Key, pending_tokens: u32) {
+    pub(super) fn record_prompt_computed(&mut self, server: membership::Key, pending_tokens: u32) {
         if let Some(busy) = self.busy.get_mut(&server) {
             busy.pending_tokens = busy.pending_tokens.saturating_sub(pending_tokens);
         }
     }
 
     /// Frees the slot of a request that was dispatched.
-    pub(super) fn release(&mut self, now: Time, state: &Request) {
+    pub(super) fn release_slot(&mut self, now: Time, state: &Request) {
         let Phase::Sent { server, at, pending_tokens, begun } = state.phase else {
             return;
         };
         if !begun {
-            self.prompt_computed(server, pending_tokens);
+            self.record_prompt_computed(server, pending_tokens);
         }
         if let Some(busy) = self.busy.get_mut(&server) {
             busy.requests = busy.requests.saturating_sub(1);
@@ -206,12 +215,12 @@
             }
         }
         let held_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-        let pace = self.paces.entry(state.arrival.pool.clone()).or_default();
+        let pace = self.averages.entry(state.arrival.pool.clone()).or_default();
         pace.hold_ms += (held_ms - pace.hold_ms) * 0.05;
     }
 }
 
-fn fits(now: Time, state: &Request, server: &Server) -> bool {
+fn is_eligible(now: Time, state: &Request, server: &Server) -> bool {
     let serves = match &state.arrival.target {
         Target::Model { model, weights, .. } => server.serves(model, weights),
         Target::Service { .. } => server.vm.role == Role::ServiceServer,
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -9,7 +9,7 @@
     /// Answers a keyed request from what is known of its key, or claims it.
     pub(super) fn claim(&mut self, now: Time, request: attempt::Key, ask: &ledger::Ask) {
         if self.ledger.get(&ask.key).is_some() {
-            return self.answer_known(now, request);
+            return self.answer_from_ledger(now, request);
         }
         let reading = self.readings.get(&Stream::Ledger).copied().unwrap_or_default();
         if !reading.up {
@@ -30,7 +30,7 @@
     }
 
     /// Answers a keyed request from what the ledger knows of its key.
-    fn answer_known(&mut self, now: Time, request: attempt::Key) {
+    fn answer_from_ledger(&mut self, now: Time, request: attempt::Key) {
         let Some(ask) = self.requests.get(&request).and_then(|r| r.arrival.claim.clone()) else {
             return;
         };
@@ -55,7 +55,7 @@
             Found::Lost => self.refuse(now, request, Code::KeyOutcomeUnknown),
             Found::Claimed => {
                 let claimant = slot.claim.clone();
-                let running = self.is_running(now, &claimant);
+                let running = self.is_claimant_running(now, &claimant);
                 let code = if running { Code::KeyInProgress } else { Code::KeyOutcomeUnknown };
                 self.refuse(now, request, code);
             }
@@ -64,29 +64,29 @@
 
     /// Whether the incarnation that made the claim still runs, as far as is known. One that was not heard has
     /// ended only where this daemon has listened for as long as a digest counts.
-    fn is_running(&self, now: Time, claim: &ledger::ClaimId) -> bool {
+    fn is_claimant_running(&self, now: Time, claim: &ledger::ClaimId) -> bool {
         if claim.daemon == self.identity.id {
             return self.pending.is_own(claim);
         }
-        let heard = self.fresh_peers(now).find(|digest| digest.daemon == claim.daemon);
+        let heard = self.live_peers(now).find(|digest| digest.daemon == claim.daemon);
         match heard {
             Some(digest) => digest.incarnation == claim.incarnation,
-            None => now < self.listens_since + self.policy.digest_lifetime,
+            None => now < self.listening_since + self.policy.digest_lifetime,
         }
     }
 
-    pub(super) fn ledger_steps(&mut self, now: Time, steps: Vec<Step>) {
+    pub(super) fn apply_ledger_steps(&mut self, now: Time, steps: Vec<Step>) {
         for step in steps {
             match step {
-                Step::Won(request) => self.claimed(now, request),
-                Step::Lost(request) => self.answer_known(now, request),
+                Step::Won(request) => self.claim_won(now, request),
+                Step::Lost(request) => self.answer_from_ledger(now, request),
                 Step::Unclaimed(request) => self.refuse(now, request, Code::LogUnavailable),
                 Step::Released => self.event(Event::ClaimReleased, Detail::none()),
             }
         }
     }
 
-    fn claimed(&mut self, now: Time, request: attempt::Key) {
+    fn claim_won(&mut self, now: Time, request: attempt::Key) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
@@ -101,12 +101,16 @@
         request: attempt::Key,
         refusal: Refusal,
     ) {
-        self.settle_claim(request, None);
+        self.record_claim_outcome(request, None);
         self.refuse(now, request, refusal);
     }
 
     /// Notes on the ledger what came of a claimed request that ends now.
-    pub(super) fn settle_claim(&mut self, request: attempt::Key, receipt: Option<ledger::Receipt>) {
+    pub(super) fn record_claim_outcome(
+        &mut self,
+        request: attempt::Key,
+        receipt: Option<ledger::Receipt>,
+    ) {
         let Some(state) = self.requests.get(&request) else {
             return;
         };
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -6,13 +6,13 @@
 use crate::prelude::*;
 
 /// Waiting requests that are looked at for a free server, at most.
-const MAX_SCAN: usize = 32;
+const MAX_SCANNED_REQUESTS: usize = 32;
 /// The part of the time to its deadline that a request is held for a better, full server.
-const HOLD_PART: u32 = 4;
+const HOLD_DEADLINE_DIVISOR: u32 = 4;
 
 /// Where a request goes, and what it costs there.
 #[derive(Debug, Clone, Copy)]
-struct Choice {
+struct Placement {
     server: membership::Key,
     /// Prompt tokens that the work until the first token is worth.
     pending_tokens: u32,
@@ -22,13 +22,13 @@
 
 impl Node {
     /// Sends waiting requests of `pool` to servers with free slots, in the queue's order.
-    pub(super) fn pump(&mut self, now: Time, pool: &str) {
+    pub(super) fn dispatch_waiting(&mut self, now: Time, pool: &str) {
         loop {
             let Some(queue) = self.queues.get(pool) else {
                 return;
             };
             let waiting: Vec<attempt::Key> =
-                queue.iter().take(MAX_SCAN).map(|entry| entry.request).collect();
+                queue.iter().take(MAX_SCANNED_REQUESTS).map(|entry| entry.request).collect();
             let placed = waiting.into_iter().find_map(|request| {
                 let choice = self.place(now, request)?;
                 Some((request, choice))
@@ -43,18 +43,18 @@
 
     /// The server for a waiting request; `None` while every fitting one is full, or a full one is
     /// worth waiting for.
-    fn place(&self, now: Time, request: attempt::Key) -> Option<Choice> {
+    fn place(&self, now: Time, request: attempt::Key) -> Option<Placement> {
         let state = self.requests.get(&request)?;
         if let Some((server, _)) = &state.stream
-            && self.holds_stream(now, state)
+            && self.can_resume_stream(now, state)
         {
-            return Some(Choice { server: *server, pending_tokens: 0, import_blocks: 0 });
+            return Some(Placement { server: *server, pending_tokens: 0, import_blocks: 0 });
         }
         let left = state.arrival.deadline.saturating_sub(state.since);
-        let free_only = now >= state.since + left / HOLD_PART;
-        let scored = self.score(now, request, free_only);
+        let free_only = now >= state.since + left / HOLD_DEADLINE_DIVISOR;
+        let scored = self.score_candidates(now, request, free_only);
         let best = scored.first().filter(|scored| scored.free)?;
-        Some(Choice {
+        Some(Placement {
             server: best.key,
             pending_tokens: best.work_tokens,
             import_blocks: best.import_blocks,
@@ -62,7 +62,7 @@
     }
 
     /// Whether the server that holds the request's broken stream can resume it.
-    fn holds_stream(&self, now: Time, state: &Request) -> bool {
+    fn can_resume_stream(&self, now: Time, state: &Request) -> bool {
         let Some((key, incarnation)) = &state.stream else {
             return false;
         };
@@ -72,7 +72,7 @@
     }
 
     /// Where `server` is to import the first `blocks` blocks from: the holder that is least busy.
-    fn import(
+    fn choose_import(
         &self,
         now: Time,
         state: &Request,
@@ -82,25 +82,25 @@
         if blocks == 0 {
             return None;
         }
-        let depth = self.depth(now, &state.arrival.prefix);
+        let depth = self.cached_depth(now, &state.arrival.prefix);
         let holders = depth
             .iter()
             .filter(|(key, held)| **held >= blocks && **key != server)
             .filter_map(|(key, _)| Some((*key, self.membership.get(*key)?)))
             .filter(|(_, holder)| holder.is_reachable());
         let (_, holder) = holders.min_by_key(|(key, holder)| {
-            let busy = self.fleet_busy(now, *key, &holder.vm.id);
+            let busy = self.total_load(now, *key, &holder.vm.id);
             (busy.pending_tokens, holder.load.queued_tokens, holder.vm.id.clone())
         })?;
         let incarnation = holder.incarnation.clone()?;
         Some(Import { address: holder.vm.address, incarnation, blocks })
     }
 
-    fn dispatch(&mut self, now: Time, request: attempt::Key, choice: Choice) {
-        let Choice { server, pending_tokens, import_blocks } = choice;
+    fn dispatch(&mut self, now: Time, request: attempt::Key, choice: Placement) {
+        let Placement { server, pending_tokens, import_blocks } = choice;
         let Some(state) = self.requests.get(&request) else { return };
-        let import = self.import(now, state, server, import_blocks);
-        let resume = self.holds_stream(now, state);
+        let import = self.choose_import(now, state, server, import_blocks);
+        let resume = self.can_resume_stream(now, state);
         let Some(target) = self.membership.get(server) else {
             return;
         };
@@ -130,7 +130,7 @@
             _ => Vec::new(),
         };
         let level = state.arrival.prefix.level(0);
-        self.note_work(now, server, pending_tokens, &blocks, level);
+        self.record_dispatch(now, server, pending_tokens, &blocks, level);
         self.command(request, Command::Dispatch(dispatch));
     }
 }
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -64,9 +64,9 @@
 
 /// How an append ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Appended {
+pub enum AppendResult {
     /// It landed.
-    Landed,
+    Written,
     /// It did not and will not land.
     Refused,
     /// It is not known whether it landed or will.
@@ -96,16 +96,16 @@
         /// The append's number.
         number: u64,
         /// How it ended.
-        result: Appended,
+        result: AppendResult,
     },
     /// An order to an engine ended; whether the engine took it.
     Ordered(membership::Key, bool),
     /// An append of a checkpoint ended.
     Checkpointed,
     /// The VM list was read.
-    Vms(Vec<Vm>),
+    VmList(Vec<Vm>),
     /// The VM list could not be read.
-    VmsDown,
+    VmListDown,
     /// An engine reported.
     Polled(membership::Key, Box<membership::Report>),
     /// An engine did not report.
@@ -150,7 +150,7 @@
     /// Look whether somebody listens where a server did that may have ended.
     Probe(Incarnation, SocketAddr),
     /// Make this manifest the one that traffic uses.
-    Force(Arc<manifest::Force>),
+    UseManifest(Arc<manifest::Force>),
     /// Poll an engine.
     Poll {
         /// The engine.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -19,6 +19,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use message::{Appended, Effect, Message, Read, Record, Stream};
+pub use message::{AppendResult, Effect, Message, Read, Record, Stream};
 pub use node::{Counts, Identity, Node, Policy};
-pub use status::{Explained, ServerStatus, Status};
+pub use status::{CandidateStatus, ServerStatus, Status};
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -16,10 +16,10 @@
 use crate::prelude::*;
 
 /// Entries of the residency table at most; about 100 bytes each.
-const MAX_RESIDENCY: usize = 1_000_000;
+const MAX_RESIDENCY_ENTRIES: usize = 1_000_000;
 
 /// Time without any message after which this daemon was frozen: ticks come some fifty times a second.
-const FROZEN: Duration = Duration::from_secs(1);
+const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Who this daemon is.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
     pub(super) digest: peer::Digest,
-    pub(super) at: Time,
+    pub(super) received_at: Time,
 }
 
 /// State of one stream of the log as this daemon reads it.
@@ -87,12 +87,12 @@
 
 /// Running means of one pool.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct Averages {
     /// Milliseconds for which a request holds its slot.
     pub(super) hold_ms: f64,
 }
 
-impl Default for Pace {
+impl Default for Averages {
     fn default() -> Self {
         Self { hold_ms: 500.0 }
     }
@@ -129,42 +129,42 @@
     /// When this daemon last sent a first level somewhere.
     pub(super) copies: BTreeMap<(prefix::Key, membership::Key), Time>,
     pub(super) queues: BTreeMap<String, Queue>,
-    pub(super) paces: BTreeMap<String, Pace>,
+    pub(super) averages: BTreeMap<String, Averages>,
     pub(super) requests: BTreeMap<attempt::Key, Request>,
     pub(super) busy: BTreeMap<membership::Key, peer::Busy>,
     pub(super) budget: Budget,
     pub(super) lease: lease::State,
     /// When engines were given the orders that they carry out.
-    pub(super) ordered: BTreeMap<membership::Key, Time>,
+    pub(super) pending_orders: BTreeMap<membership::Key, Time>,
     /// When engines had carried out an order that no report shows yet.
-    pub(super) obeyed: BTreeMap<membership::Key, Time>,
+    pub(super) unreported_orders: BTreeMap<membership::Key, Time>,
     /// When the manifest in force was taken over.
-    pub(super) force_since: Time,
+    pub(super) in_force_since: Time,
     /// The generation that was last put in force here.
-    pub(super) force_generation: u64,
+    pub(super) applied_generation: u64,
     /// Whether a peer told what it has in force that is no older than what was folded here.
-    pub(super) force_told: bool,
+    pub(super) has_peer_manifest: bool,
     pub(super) ledger: ledger::State,
     pub(super) pending: ledger::Pending,
     pub(super) claims: BTreeMap<attempt::Key, ledger::ClaimId>,
     pub(super) readings: BTreeMap<Stream, Reading>,
     pub(super) peers: BTreeMap<String, Peer>,
     /// Since when this daemon has heard peers that speak: its start, or the end of a freeze.
-    pub(super) listens_since: Time,
+    pub(super) listening_since: Time,
     applied_at: Time,
     pub(super) polls: BTreeMap<membership::Key, Poll>,
     /// Requests for weights that an engine may have which has not been asked since they are in force.
-    pub(super) unheard: BTreeSet<attempt::Key>,
+    pub(super) awaiting_reports: BTreeSet<attempt::Key>,
     pub(super) next_digest: Time,
-    pub(super) next_ask: Time,
+    pub(super) next_snapshot_request: Time,
     pub(super) checkpoint: super::platform::Checkpointing,
     /// Requests that end servers.
     pub(super) poison: poison::State,
     /// Servers that may have ended under requests.
-    pub(super) watch: poison::Detector,
+    pub(super) detector: poison::Detector,
     pub(super) blocks: super::poison::Blocks,
-    pub(super) vms_up: bool,
-    pub(super) vms_known: bool,
+    pub(super) vm_list_up: bool,
+    pub(super) vm_list_known: bool,
     pub(super) draining: bool,
     pub(super) counts: Counts,
     pub(super) effects: Vec<Effect>,
@@ -181,37 +181,37 @@
             policy,
             manifest: manifest::State::default(),
             membership: membership::State::default(),
-            residency: Residency::new(MAX_RESIDENCY),
+            residency: Residency::new(MAX_RESIDENCY_ENTRIES),
             heat: Heat::default(),
             copies: BTreeMap::new(),
             queues: BTreeMap::new(),
-            paces: BTreeMap::new(),
+            averages: BTreeMap::new(),
             requests: BTreeMap::new(),
             busy: BTreeMap::new(),
             budget: Budget::default(),
             lease,
-            ordered: BTreeMap::new(),
-            obeyed: BTreeMap::new(),
-            force_since: Time::ZERO,
-            force_generation: 0,
-            force_told: false,
+            pending_orders: BTreeMap::new(),
+            unreported_orders: BTreeMap::new(),
+            in_force_since: Time::ZERO,
+            applied_generation: 0,
+            has_peer_manifest: false,
             ledger: ledger::State::default(),
             pending,
             claims: BTreeMap::new(),
             readings: BTreeMap::new(),
             peers: BTreeMap::new(),
-            listens_since: Time::ZERO,
+            listening_since: Time::ZERO,
             applied_at: Time::ZERO,
             polls: BTreeMap::new(),
-            unheard: BTreeSet::new(),
+            awaiting_reports: BTreeSet::new(),
             next_digest: Time::ZERO,
-            next_ask: Time::ZERO,
+            next_snapshot_request: Time::ZERO,
             checkpoint: super::platform::Checkpointing::default(),
             poison: poison::State::default(),
-            watch: poison::Detector::default(),
+            detector: poison::Detector::default(),
             blocks: super::poison::Blocks::default(),
-            vms_up: true,
-            vms_known: false,
+            vm_list_up: true,
+            vm_list_known: false,
             draining: false,
             counts: Counts::default(),
             effects: Vec::new(),
@@ -220,26 +220,26 @@
 
     /// Takes `message` at time `now`; returns what is to be done, in order.
     pub fn apply(&mut self, now: Time, message: Message) -> Vec<Effect> {
-        if now > self.applied_at + FROZEN {
-            self.listens_since = now;
+        if now > self.applied_at + FREEZE_THRESHOLD {
+            self.listening_since = now;
         }
         self.applied_at = now;
         match message {
             Message::Arrive(arrival) => self.arrive(now, *arrival),
             Message::Report { request, attempt, report } => {
-                self.report(now, request, attempt, report);
+                self.handle_report(now, request, attempt, report);
             }
-            Message::Records(stream, read) => self.records(now, stream, read),
+            Message::Records(stream, read) => self.handle_records(now, stream, read),
             Message::LogDown(stream) => self.log_down(stream),
             Message::Appended { number, result } => self.appended(now, number, result),
-            Message::Checkpointed => self.checkpoint.ended(),
+            Message::Checkpointed => self.checkpoint.finish_append(),
             Message::Ordered(server, accepted) => self.order_ended(now, server, accepted),
-            Message::Vms(vms) => self.vms(now, vms),
-            Message::VmsDown => self.vms_down(),
+            Message::VmList(vms) => self.handle_vm_list(now, vms),
+            Message::VmListDown => self.vm_list_down(),
             Message::Polled(server, report) => self.polled(now, server, *report),
             Message::PollFailed(server) => self.poll_failed(now, server),
             Message::Probed(victim, answer) => self.probed(now, victim, answer),
-            Message::Frame(frame) => self.frame(now, frame),
+            Message::Frame(frame) => self.handle_frame(now, frame),
             Message::Stop => self.stop(now),
             Message::Tick => self.tick(now),
         }
@@ -259,21 +259,22 @@
 
     /// Whether the platform's balancer may send callers here.
     pub fn is_ready(&self) -> bool {
-        let known = self.force().is_some() && self.blocks_known() && self.membership_known();
+        let known =
+            self.manifest_in_force().is_some() && self.blocks_known() && self.membership_known();
         known && !self.draining
     }
 
     /// The manifest in force, once all records that the first read found are folded, or a peer has told its
     /// own: after a part of them, what they say may have been overtaken long ago.
-    pub(super) fn force(&self) -> Option<&Arc<manifest::Force>> {
+    pub(super) fn manifest_in_force(&self) -> Option<&Arc<manifest::Force>> {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
         let known = reading.tail_at_start.is_some_and(|tail| self.manifest.next() >= tail);
-        self.manifest.force().filter(|_| known || self.force_told)
+        self.manifest.force().filter(|_| known || self.has_peer_manifest)
     }
 
     /// The generation in force; 0 for none.
     pub(super) fn generation(&self) -> u64 {
-        self.force().map_or(0, |force| force.generation)
+        self.manifest_in_force().map_or(0, |force| force.generation)
     }
 
     /// Whether the stream of blocked requests was read to the tail that the first read found, or asked in vain:
@@ -294,7 +295,7 @@
             *known |= server.is_known();
             *waiting |= server.is_awaited();
         }
-        self.vms_known && pools.values().all(|(known, waiting)| *known || !*waiting)
+        self.vm_list_known && pools.values().all(|(known, waiting)| *known || !*waiting)
     }
 
     /// Whether a planned stop is under way.
@@ -322,8 +323,8 @@
 
     fn tick(&mut self, now: Time) {
         self.expire_requests(now);
-        self.admit_unheard(now);
-        self.look_at_poison(now);
+        self.retry_admission(now);
+        self.maintain_poison(now);
         self.schedule_polls(now);
         self.schedule_peers(now);
         self.schedule_checkpoint(now);
@@ -331,7 +332,7 @@
         self.schedule_orders(now);
         let pools: Vec<String> = self.queues.keys().cloned().collect();
         for pool in pools {
-            self.pump(now, &pool);
+            self.dispatch_waiting(now, &pool);
         }
     }
 
@@ -370,14 +371,14 @@
         match state.phase {
             Phase::Claiming => self.pending.abandon(request),
             Phase::Waiting => {
-                self.unheard.remove(&request);
+                self.awaiting_reports.remove(&request);
                 if let Some(queue) = self.queues.get_mut(&pool) {
                     queue.remove(request);
                 }
             }
             Phase::Sent { .. } => {
-                self.release(now, &state);
-                self.pump(now, &pool);
+                self.release_slot(now, &state);
+                self.dispatch_waiting(now, &pool);
             }
         }
     }
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -6,17 +6,17 @@
 use crate::prelude::*;
 
 /// Time after which an order that had no effect is given again.
-const ORDER_AGAIN: Duration = Duration::from_secs(30);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(30);
 /// Time for which versions stay loaded that the manifest no longer names: streams under them end.
-const UNLOAD_AFTER: Duration = Duration::from_secs(60);
+const UNLOAD_DELAY: Duration = Duration::from_secs(60);
 
 impl Node {
     pub(super) fn schedule_lease(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Lease).copied().unwrap_or_default();
-        if !reading.up || self.draining || self.force().is_none() {
+        if !reading.up || self.draining || self.manifest_in_force().is_none() {
             return;
         }
-        let candidate = self.is_first(now);
+        let candidate = self.is_first_live_daemon(now);
         if let Some(record) = self.lease.due(now, candidate) {
             self.effects.push(Effect::AppendLease(record.encode()));
         }
@@ -24,19 +24,19 @@
 
     /// Gives the orders that are due, while this daemon holds the lease.
     pub(super) fn schedule_orders(&mut self, now: Time) {
-        self.ordered.retain(|_, at| now < *at + ORDER_AGAIN);
+        self.pending_orders.retain(|_, at| now < *at + ORDER_RETRY_INTERVAL);
         let Some(fence) = self.lease.fence(now) else { return };
-        let Some(force) = self.force().cloned() else { return };
+        let Some(force) = self.manifest_in_force().cloned() else { return };
         let want = Want {
             settled: self.lease.is_settled(now),
             unload: self.may_unload(now, force.generation),
         };
-        let busy = self.ordered.keys().chain(self.obeyed.keys());
+        let busy = self.pending_orders.keys().chain(self.unreported_orders.keys());
         let busy: BTreeSet<membership::Key> = busy.copied().collect();
         for due in plan(&force.manifest, &self.membership, &busy, want) {
             let Some(server) = self.membership.get(due.server) else { continue };
             let (id, address) = (server.vm.id.clone(), server.vm.address);
-            self.ordered.insert(due.server, now);
+            self.pending_orders.insert(due.server, now);
             let detail = Detail::of("server", id)
                 .and("action", format!("{:?}", due.action))
                 .and("fence", fence);
@@ -51,18 +51,18 @@
     fn may_unload(&self, now: Time, generation: u64) -> bool {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
         let newest = reading.up && self.manifest.next() >= reading.tail;
-        let everywhere = self.fresh_peers(now).all(|digest| digest.generation >= generation);
-        newest && everywhere && now >= self.force_since + UNLOAD_AFTER
+        let everywhere = self.live_peers(now).all(|digest| digest.generation >= generation);
+        newest && everywhere && now >= self.in_force_since + UNLOAD_DELAY
     }
 
     /// An order ended; one that was refused is given again after a while. What the engine has now is not in
     /// what it reported before, by which the order would be given again.
     pub(super) fn order_ended(&mut self, now: Time, server: membership::Key, accepted: bool) {
         if accepted {
-            self.ordered.remove(&server);
+            self.pending_orders.remove(&server);
             if self.membership.get(server).is_some() {
-                self.obeyed.insert(server, now);
-                self.ask_again(now, server);
+                self.unreported_orders.insert(server, now);
+                self.poll_now(now, server);
             }
             return;
         }
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -5,10 +5,10 @@
 use crate::prelude::*;
 
 /// Time within which a stream that broke must go on.
-const RESUME_WITHIN: Duration = Duration::from_secs(10);
+const RESUME_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
-    pub(super) fn report(
+    pub(super) fn handle_report(
         &mut self,
         now: Time,
         request: attempt::Key,
@@ -22,12 +22,12 @@
             return;
         }
         match report {
-            Report::Begun { cached_tokens } => self.begun(now, request, cached_tokens),
-            Report::Ended(outcome) => self.ended(now, request, outcome),
+            Report::Begun { cached_tokens } => self.answer_begun(now, request, cached_tokens),
+            Report::Ended(outcome) => self.attempt_ended(now, request, outcome),
         }
     }
 
-    fn begun(&mut self, now: Time, request: attempt::Key, cached_tokens: Option<u32>) {
+    fn answer_begun(&mut self, now: Time, request: attempt::Key, cached_tokens: Option<u32>) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
@@ -42,10 +42,10 @@
         let tokens = state.arrival.tokens;
         let blocks = state.arrival.prefix.blocks.clone();
         if !was_begun {
-            self.prompt_computed(server, pending_tokens);
+            self.record_prompt_computed(server, pending_tokens);
         }
         self.membership.trust(server);
-        self.lives(now, server);
+        self.record_response(now, server);
         if let Some(cached) = cached_tokens
             && first
         {
@@ -58,11 +58,11 @@
         }
     }
 
-    fn ended(&mut self, now: Time, request: attempt::Key, outcome: Outcome) {
-        self.note_failure(now, request, &outcome);
+    fn attempt_ended(&mut self, now: Time, request: attempt::Key, outcome: Outcome) {
+        self.record_outcome(now, request, &outcome);
         let may_retry = match outcome {
             Outcome::Unsent(_) => true,
-            Outcome::Broken(_) if self.may_end_servers(now, request) => false,
+            Outcome::Broken(_) if self.may_crash_servers(now, request) => false,
             Outcome::Broken(_) | Outcome::Declined(_) | Outcome::Mismatch(_) => self.budget.spend(),
             _ => false,
         };
@@ -82,7 +82,7 @@
     }
 
     /// Corrects what is believed of the server that failed an attempt.
-    fn note_failure(&mut self, now: Time, request: attempt::Key, outcome: &Outcome) {
+    fn record_outcome(&mut self, now: Time, request: attempt::Key, outcome: &Outcome) {
         let Some(state) = self.requests.get(&request) else {
             return;
         };
@@ -91,13 +91,13 @@
         };
         let fingerprint = state.arrival.fingerprint.to_string();
         if let Outcome::Broken(_) = outcome {
-            self.connection_lost(now, request, server, now.saturating_sub(at));
+            self.record_disconnect(now, request, server, now.saturating_sub(at));
         }
         let id = self.membership.get(server).map_or("", |server| &server.vm.id).to_owned();
         match outcome {
             Outcome::Complete(_) => {
-                self.was_served(now, request);
-                self.lives(now, server);
+                self.clear_suspect(now, request);
+                self.record_response(now, server);
                 return self.membership.trust(server);
             }
             Outcome::CallerGone => return self.event(Event::CallerGone, Detail::of("server", id)),
@@ -149,7 +149,7 @@
                 None
             }
         };
-        self.settle_claim(request, receipt);
+        self.record_claim_outcome(request, receipt);
         self.counts.finished += 1;
         self.forget(now, request);
     }
@@ -158,7 +158,7 @@
         let Some(state) = self.requests.get(&request).cloned() else {
             return;
         };
-        self.release(now, &state);
+        self.release_slot(now, &state);
         self.counts.retried += 1;
         let resumed = state.stream.is_some();
         let Some(current) = self.requests.get_mut(&request) else {
@@ -166,12 +166,12 @@
         };
         current.phase = Phase::Waiting;
         if current.begun {
-            current.arrival.deadline = now + RESUME_WITHIN;
+            current.arrival.deadline = now + RESUME_TIMEOUT;
             let event = if resumed { Event::StreamResumed } else { Event::StreamContinued };
             self.event(event, Detail::none());
         }
         let pool = state.arrival.pool;
         self.admit(now, request);
-        self.pump(now, &pool);
+        self.dispatch_waiting(now, &pool);
     }
 }
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -10,24 +10,26 @@
 use crate::prelude::*;
 
 /// First levels that a digest names.
-const DIGEST_LEVELS: usize = 32;
+const MAX_DIGEST_LEVELS: usize = 32;
 /// Copies that a digest names.
-const DIGEST_COPIES: usize = 64;
+const MAX_DIGEST_COPIES: usize = 64;
 /// Time between two asks for a snapshot.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
     pub(super) fn schedule_peers(&mut self, now: Time) {
         let listed: BTreeSet<String> = self.membership.routers().keys().cloned().collect();
         let lifetime = self.policy.digest_lifetime;
         self.copies.retain(|_, at| now.saturating_sub(*at) < lifetime);
-        self.peers.retain(|id, peer| listed.contains(id) || now.saturating_sub(peer.at) < lifetime);
+        self.peers.retain(|id, peer| {
+            listed.contains(id) || now.saturating_sub(peer.received_at) < lifetime
+        });
         if now >= self.next_digest {
             self.send_digests(now);
         }
-        if now >= self.next_ask && self.is_behind(now) {
-            self.next_ask = now + ASK_INTERVAL;
-            self.ask_for_snapshot(now);
+        if now >= self.next_snapshot_request && self.is_behind(now) {
+            self.next_snapshot_request = now + SNAPSHOT_REQUEST_INTERVAL;
+            self.request_snapshot(now);
         }
     }
 
@@ -65,7 +67,7 @@
             incarnation: self.identity.incarnation,
             generation: self.generation(),
             busy,
-            heat: self.heat.top(now, DIGEST_LEVELS),
+            heat: self.heat.top(now, MAX_DIGEST_LEVELS),
             copies: self.recent_copies(now),
             leaving,
             draining: self.draining,
@@ -84,16 +86,16 @@
                 let incarnation = server.incarnation.clone()?;
                 Some(Copy { level: *level, server: server.vm.id.clone(), incarnation })
             })
-            .take(DIGEST_COPIES)
+            .take(MAX_DIGEST_COPIES)
             .collect()
     }
 
     /// Whether the log has not yet told this daemon what is in force or claimed, or a peer has a
     /// newer manifest. A peer may know less of claims than this daemon: it counts how far it has read.
     fn is_behind(&self, now: Time) -> bool {
-        let newest = self.fresh_peers(now).map(|digest| digest.generation).max();
-        let manifest = self.force().is_none() || newest > Some(self.generation());
-        let ahead = self.fresh_peers(now).map(|digest| digest.ledger_next).max();
+        let newest = self.live_peers(now).map(|digest| digest.generation).max();
+        let manifest = self.manifest_in_force().is_none() || newest > Some(self.generation());
+        let ahead = self.live_peers(now).map(|digest| digest.ledger_next).max();
         let claims = ahead.is_none_or(|ahead| ahead > self.ledger.next());
         manifest || (claims && !self.is_ledger_known())
     }
@@ -105,9 +107,9 @@
 
     /// Asks the peer with the newest manifest, and of those the one that knows most claims; before any
     /// digest has come, every peer.
-    fn ask_for_snapshot(&mut self, now: Time) {
+    fn request_snapshot(&mut self, now: Time) {
         let newest = self
-            .fresh_peers(now)
+            .live_peers(now)
             .max_by_key(|digest| (digest.generation, digest.ledger_next))
             .map(|digest| digest.daemon.clone());
         for (id, address) in self.peer_addresses() {
@@ -118,33 +120,33 @@
         }
     }
 
-    pub(super) fn frame(&mut self, now: Time, frame: Frame) {
+    pub(super) fn handle_frame(&mut self, now: Time, frame: Frame) {
         match frame {
-            Frame::Digest(digest) => self.take_digest(now, digest),
-            Frame::Ask(daemon) => self.answer_ask(now, &daemon),
-            Frame::Snapshot(snapshot) => self.take_snapshot(now, snapshot),
-            Frame::Poison(message) => self.poison_came(now, message),
+            Frame::Digest(digest) => self.handle_digest(now, digest),
+            Frame::Ask(daemon) => self.send_snapshot(now, &daemon),
+            Frame::Snapshot(snapshot) => self.merge_snapshot(now, snapshot),
+            Frame::Poison(message) => self.handle_poison_message(now, message),
         }
     }
 
-    fn take_digest(&mut self, now: Time, digest: Digest) {
+    fn handle_digest(&mut self, now: Time, digest: Digest) {
         if digest.daemon == self.identity.id {
             return;
         }
         for id in &digest.leaving {
             let notices = self.membership.leaves(id).into_iter().collect();
-            self.notices(now, notices);
+            self.apply_notices(now, notices);
         }
         // Told again, and by others, it is no news: all of them would have it asked for at every tick.
-        let heard = self.fresh_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
+        let heard = self.live_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
         if digest.generation > self.generation().max(heard) {
-            self.next_ask = now;
+            self.next_snapshot_request = now;
         }
-        self.hear_blocked(now, &digest.blocked);
-        self.peers.insert(digest.daemon.clone(), Peer { digest, at: now });
+        self.merge_blocks(now, &digest.blocked);
+        self.peers.insert(digest.daemon.clone(), Peer { digest, received_at: now });
     }
 
-    fn answer_ask(&mut self, now: Time, daemon: &str) {
+    fn send_snapshot(&mut self, now: Time, daemon: &str) {
         let Some(vm) = self.membership.routers().get(daemon) else {
             return;
         };
@@ -156,7 +158,7 @@
     /// This daemon's folded state.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let slots: Vec<(&ledger::Key, &ledger::Slot)> = self.ledger.iter().collect();
-        let force = self.force();
+        let force = self.manifest_in_force();
         let json = |force: &Arc<manifest::Force>| serde_json::to_string(&force.manifest).ok();
         Snapshot {
             manifest_next: self.manifest.next(),
@@ -171,17 +173,17 @@
     }
 
     /// Takes over what is ahead of this daemon in a peer's folded state.
-    fn take_snapshot(&mut self, now: Time, snapshot: Snapshot) {
+    fn merge_snapshot(&mut self, now: Time, snapshot: Snapshot) {
         let mut taken = Vec::new();
-        self.hear_blocked(now, &snapshot.blocked);
+        self.merge_blocks(now, &snapshot.blocked);
         if let Ok(manifest) = manifest::parse(snapshot.manifest.as_bytes()) {
             let force = manifest::Force::new(snapshot.generation, snapshot.published, manifest);
             let force = Arc::new(force);
-            self.force_told |= snapshot.generation >= self.manifest.generation();
+            self.has_peer_manifest |= snapshot.generation >= self.manifest.generation();
             if self.manifest.merge(snapshot.manifest_next, Some(force)) {
                 taken.push("manifest");
             }
-            self.put_in_force(now);
+            self.apply_manifest(now);
         }
         let slots: Result<Vec<(ledger::Key, ledger::Slot)>, _> =
             serde_json::from_str(&snapshot.ledger);
--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -1,6 +1,6 @@
 //! What follows from the platform's log and VM list, and from engines' reports.
 
-use super::message::{Appended, Read, Record, Stream};
+use super::message::{AppendResult, Read, Record, Stream};
 use super::node::Poll;
 use super::{Effect, Node};
 use crate::attempt::{self, Command, Phase};
@@ -9,52 +9,53 @@
 use crate::prelude::*;
 
 /// A checkpoint is due when this part of the retention has passed since the last.
-const CHECKPOINT_PART: u64 = 4;
+const CHECKPOINT_RETENTION_DIVISOR: u64 = 4;
 /// Shortest time between two checkpoints.
-const MIN_CHECKPOINT: Duration = Duration::from_millis(500);
+const MIN_CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after which a checkpoint that was sent and is not read back is sent again.
-const CHECKPOINT_AGAIN: Duration = Duration::from_secs(60);
+const CHECKPOINT_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How old the record on the log is from which what is in force can be read, and when it was last sent again.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Checkpointing {
     /// When the log took the last checkpoint, or the first publication, in milliseconds of its clock.
-    base_ms: Option<u64>,
+    checkpoint_ms: Option<u64>,
     /// How far the log's clock is at least ahead of this daemon's, in milliseconds.
-    ahead_ms: u64,
-    sent: Option<Time>,
-    under_way: bool,
+    min_clock_offset_ms: u64,
+    sent_at: Option<Time>,
+    in_progress: bool,
 }
 
 impl Checkpointing {
-    pub(super) fn ended(&mut self) {
-        self.under_way = false;
+    pub(super) fn finish_append(&mut self) {
+        self.in_progress = false;
     }
 
     /// Notes that a record was read now which the log took at `time_ms`.
-    fn read(&mut self, now: Time, time_ms: u64) {
-        self.ahead_ms = self.ahead_ms.max(time_ms.saturating_sub(now.as_millis() as u64));
+    fn record_log_time(&mut self, now: Time, time_ms: u64) {
+        self.min_clock_offset_ms =
+            self.min_clock_offset_ms.max(time_ms.saturating_sub(now.as_millis() as u64));
     }
 
     /// What the log's clock shows at least, in milliseconds.
-    pub(super) fn log_ms(&self, now: Time) -> u64 {
-        (now.as_millis() as u64).saturating_add(self.ahead_ms)
+    pub(super) fn min_log_time_ms(&self, now: Time) -> u64 {
+        (now.as_millis() as u64).saturating_add(self.min_clock_offset_ms)
     }
 
     /// Whether it is time, with `part` of the retention between two. The age is the log's: daemons may live
     /// for less than that, and read what is old at their start. One that is not known counts as too old.
     fn is_due(&self, now: Time, part: Duration) -> bool {
-        let log_ms = self.log_ms(now);
-        let part_ms = part.max(MIN_CHECKPOINT).as_millis() as u64;
-        let pause = part.clamp(MIN_CHECKPOINT, CHECKPOINT_AGAIN);
-        self.base_ms.is_none_or(|base| log_ms >= base.saturating_add(part_ms))
-            && self.sent.is_none_or(|sent| now >= sent + pause)
+        let log_ms = self.min_log_time_ms(now);
+        let part_ms = part.max(MIN_CHECKPOINT_INTERVAL).as_millis() as u64;
+        let pause = part.clamp(MIN_CHECKPOINT_INTERVAL, CHECKPOINT_RETRY_INTERVAL);
+        self.checkpoint_ms.is_none_or(|base| log_ms >= base.saturating_add(part_ms))
+            && self.sent_at.is_none_or(|sent| now >= sent + pause)
     }
 }
 
 impl Node {
-    pub(super) fn records(&mut self, now: Time, stream: Stream, read: Read) {
+    pub(super) fn handle_records(&mut self, now: Time, stream: Stream, read: Read) {
         let reading = self.readings.entry(stream).or_default();
         let was_up = std::mem::replace(&mut reading.up, true);
         reading.tail_at_start.get_or_insert(read.next);
@@ -77,7 +78,7 @@
             }
         }
         for record in &read.records {
-            self.checkpoint.read(now, record.time_ms);
+            self.checkpoint.record_log_time(now, record.time_ms);
             // A gap in what was read is never folded over: the next read closes it.
             if record.offset > self.next_offset(stream) {
                 break;
@@ -87,18 +88,18 @@
                 Stream::Ledger => self.fold_ledger(record),
                 Stream::Blocked => {
                     if self.fold_blocked(now, record).is_none() {
-                        self.unreadable(stream, record.offset);
+                        self.count_unreadable(stream, record.offset);
                     }
                 }
                 Stream::Lease => {
                     if self.fold_lease(now, record.offset, &record.text).is_none() {
-                        self.unreadable(stream, record.offset);
+                        self.count_unreadable(stream, record.offset);
                     }
                 }
             }
         }
         match stream {
-            Stream::Manifest => self.put_in_force(now),
+            Stream::Manifest => self.apply_manifest(now),
             Stream::Ledger => self.resolve_claims(now),
             Stream::Lease | Stream::Blocked => {}
         }
@@ -111,7 +112,7 @@
             // One that follows the generation before it can't be read without that.
             Verdict::Accepted(force) if before > 0 && force.generation == before + 1 => {}
             Verdict::Accepted(_) | Verdict::Confirmed => {
-                self.checkpoint.base_ms = Some(record.time_ms);
+                self.checkpoint.checkpoint_ms = Some(record.time_ms);
             }
             Verdict::Known => {}
             Verdict::Stale => {
@@ -122,39 +123,40 @@
                 let detail = Detail::of("offset", offset).and("faults", faults);
                 self.event(Event::ManifestRefused, detail);
             }
-            Verdict::Unreadable => self.unreadable(Stream::Manifest, offset),
+            Verdict::Unreadable => self.count_unreadable(Stream::Manifest, offset),
         }
     }
 
     fn fold_ledger(&mut self, record: &Record) {
         if self.ledger.fold(record.offset, record.time_ms, &record.text).is_none() {
-            self.unreadable(Stream::Ledger, record.offset);
+            self.count_unreadable(Stream::Ledger, record.offset);
         }
     }
 
-    fn unreadable(&mut self, stream: Stream, offset: u64) {
+    fn count_unreadable(&mut self, stream: Stream, offset: u64) {
         self.counts.unreadable_records += 1;
         let detail = Detail::of("stream", stream.as_str()).and("offset", offset);
         self.event(Event::RecordUnreadable, detail);
     }
 
     /// Makes traffic use the manifest that is now in force, if it is another.
-    pub(super) fn put_in_force(&mut self, now: Time) {
-        let Some(force) = self.force().filter(|f| f.generation > self.force_generation).cloned()
+    pub(super) fn apply_manifest(&mut self, now: Time) {
+        let Some(force) =
+            self.manifest_in_force().filter(|f| f.generation > self.applied_generation).cloned()
         else {
             return;
         };
-        self.force_generation = force.generation;
+        self.applied_generation = force.generation;
         let detail = Detail::of("generation", force.generation);
         self.event(Event::ManifestInForce, detail);
-        self.force_since = now;
-        self.effects.push(Effect::Force(force));
+        self.in_force_since = now;
+        self.effects.push(Effect::UseManifest(force));
         self.next_digest = now;
     }
 
     pub(super) fn resolve_claims(&mut self, now: Time) {
         let steps = self.pending.resolve(&self.ledger);
-        self.ledger_steps(now, steps);
+        self.apply_ledger_steps(now, steps);
     }
 
     pub(super) fn log_down(&mut self, stream: Stream) {
@@ -164,16 +166,16 @@
         }
     }
 
-    pub(super) fn appended(&mut self, now: Time, number: u64, result: Appended) {
+    pub(super) fn appended(&mut self, now: Time, number: u64, result: AppendResult) {
         let steps = match result {
-            Appended::Landed => {
+            AppendResult::Written => {
                 self.pending.appended(number);
                 Vec::new()
             }
-            Appended::Refused => self.pending.failed(now, number, false),
-            Appended::Unknown => self.pending.failed(now, number, true),
+            AppendResult::Refused => self.pending.failed(now, number, false),
+            AppendResult::Unknown => self.pending.failed(now, number, true),
         };
-        self.ledger_steps(now, steps);
+        self.apply_ledger_steps(now, steps);
     }
 
     pub(super) fn flush_ledger(&mut self, now: Time) {
@@ -187,14 +189,14 @@
     /// checkpoint of a generation in force changes nothing.
     pub(super) fn schedule_checkpoint(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
-        let Some(force) = self.force() else {
+        let Some(force) = self.manifest_in_force() else {
             return;
         };
-        let part = Duration::from_secs(reading.retention_s) / CHECKPOINT_PART as u32;
-        let due = self.checkpoint.is_due(now, part) && !self.checkpoint.under_way;
+        let part = Duration::from_secs(reading.retention_s) / CHECKPOINT_RETENTION_DIVISOR as u32;
+        let due = self.checkpoint.is_due(now, part) && !self.checkpoint.in_progress;
         // Until peers have had the time to be heard, every daemon is the first.
         let unheard = now < self.policy.digest_lifetime.min(part);
-        if !reading.up || !due || unheard || !self.is_first(now) {
+        if !reading.up || !due || unheard || !self.is_first_live_daemon(now) {
             return;
         }
         let record = manifest::Record {
@@ -206,52 +208,52 @@
                 manifest: serde_json::to_value(&force.manifest).unwrap_or_default(),
             },
         };
-        self.checkpoint.under_way = true;
-        self.checkpoint.sent = Some(now);
+        self.checkpoint.in_progress = true;
+        self.checkpoint.sent_at = Some(now);
         self.effects.push(Effect::Checkpoint(record.encode()));
     }
 
-    pub(super) fn is_first(&self, now: Time) -> bool {
-        self.fresh_peers(now).all(|digest| digest.daemon > self.identity.id || digest.draining)
+    pub(super) fn is_first_live_daemon(&self, now: Time) -> bool {
+        self.live_peers(now).all(|digest| digest.daemon > self.identity.id || digest.draining)
     }
 
-    pub(super) fn vms(&mut self, now: Time, vms: Vec<Vm>) {
-        if !std::mem::replace(&mut self.vms_up, true) {
+    pub(super) fn handle_vm_list(&mut self, now: Time, vms: Vec<Vm>) {
+        if !std::mem::replace(&mut self.vm_list_up, true) {
             self.event(Event::VmListUp, Detail::none());
         }
-        self.vms_known = true;
+        self.vm_list_known = true;
         let notices = self.membership.replace(vms);
-        self.notices(now, notices);
+        self.apply_notices(now, notices);
     }
 
-    pub(super) fn vms_down(&mut self) {
-        if std::mem::replace(&mut self.vms_up, false) {
+    pub(super) fn vm_list_down(&mut self) {
+        if std::mem::replace(&mut self.vm_list_up, false) {
             self.event(Event::VmListDown, Detail::none());
         }
     }
 
     pub(super) fn polled(&mut self, now: Time, key: membership::Key, report: membership::Report) {
         self.poll_ended(now, key);
-        let former = self.victim(key);
+        let former = self.incarnation(key);
         let notices = self.membership.report(now, key, &report);
         if notices.contains(&Notice::Restarted(key)) {
-            self.has_ended(now, former);
+            self.record_crash(now, former);
         }
-        self.notices(now, notices);
+        self.apply_notices(now, notices);
         for event in &report.events {
             match event.change {
                 Change::Stored => self.residency.insert(key, event.key()),
                 Change::Evicted => self.residency.remove(key, event.key()),
             }
         }
-        self.admit_unheard(now);
+        self.retry_admission(now);
     }
 
     pub(super) fn poll_failed(&mut self, now: Time, key: membership::Key) {
         self.poll_ended(now, key);
         let notices = self.membership.poll_failed(key).into_iter().collect();
-        self.notices(now, notices);
-        self.admit_unheard(now);
+        self.apply_notices(now, notices);
+        self.retry_admission(now);
     }
 
     fn poll_ended(&mut self, now: Time, key: membership::Key) {
@@ -261,17 +263,17 @@
         let next = Poll::Due(now + self.policy.poll_interval);
         let Some(Poll::Sent(at)) = self.polls.insert(key, next) else { return };
         self.membership.asked(key, at);
-        match self.obeyed.get(&key) {
-            Some(obeyed) if at < *obeyed => self.ask_again(now, key),
+        match self.unreported_orders.get(&key) {
+            Some(obeyed) if at < *obeyed => self.poll_now(now, key),
             Some(_) => {
-                self.obeyed.remove(&key);
+                self.unreported_orders.remove(&key);
             }
             None => {}
         }
     }
 
     /// Asks an engine at once, where no poll of it is under way.
-    pub(super) fn ask_again(&mut self, now: Time, key: membership::Key) {
+    pub(super) fn poll_now(&mut self, now: Time, key: membership::Key) {
         if let Some(poll @ Poll::Due(_)) = self.polls.get_mut(&key) {
             *poll = Poll::Due(now);
         }
@@ -279,10 +281,10 @@
     }
 
     /// Asks the engines of `pool` at once that have not been asked since the manifest is in force.
-    pub(super) fn ask_engines(&mut self, now: Time, pool: &str) {
+    pub(super) fn poll_awaited_engines(&mut self, now: Time, pool: &str) {
         for (key, server) in self.membership.pool(pool) {
             if let Some(poll @ Poll::Due(_)) = self.polls.get_mut(&key)
-                && server.is_awaited_since(self.force_since)
+                && server.is_awaited_since(self.in_force_since)
             {
                 *poll = Poll::Due(now);
             }
@@ -290,11 +292,11 @@
         self.schedule_polls(now);
     }
 
-    pub(super) fn notices(&mut self, now: Time, notices: Vec<Notice>) {
+    pub(super) fn apply_notices(&mut self, now: Time, notices: Vec<Notice>) {
         for notice in notices {
             let (event, key) = match notice {
                 Notice::Added(key) => {
-                    self.added(now, key);
+                    self.server_added(now, key);
                     (Event::ServerAdded, key)
                 }
                 Notice::Leaving(key) => (Event::ServerLeaving, key),
@@ -315,8 +317,8 @@
                 Notice::Removed(key, id) => {
                     self.residency.clear(key);
                     self.polls.remove(&key);
-                    self.ordered.remove(&key);
-                    self.obeyed.remove(&key);
+                    self.pending_orders.remove(&key);
+                    self.unreported_orders.remove(&key);
                     self.event(Event::ServerRemoved, Detail::of("server", id));
                     continue;
                 }
@@ -340,7 +342,7 @@
         }
     }
 
-    fn added(&mut self, now: Time, key: membership::Key) {
+    fn server_added(&mut self, now: Time, key: membership::Key) {
         let engine =
             self.membership.get(key).is_some_and(|server| server.vm.role == Role::ModelServer);
         if engine {
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -15,37 +15,37 @@
 use crate::prelude::*;
 
 /// Time from a write of a block to the log to the next, where it is not seen there.
-const WRITE_AGAIN: Duration = Duration::from_secs(2);
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Blocks are written again when this part of the retention has passed.
-const RENEW_PART: u32 = 4;
+const RENEWAL_RETENTION_DIVISOR: u32 = 4;
 /// Time after which blocks that were written again, and are not read back, are sent once more.
-const RENEW_AGAIN: Duration = Duration::from_secs(60);
+const RENEWAL_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 /// Shortest time between two looks at what is to be written again, or is too old.
-const LOOK: Duration = Duration::from_secs(10);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How far the stream of blocked requests is read, and when it is written again.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Blocks {
     next: u64,
-    kept: BTreeMap<Fingerprint, Kept>,
+    stored: BTreeMap<Fingerprint, Stored>,
     /// When blocks were last written again.
-    renewed: Option<Time>,
-    next_look: Time,
+    renewed_at: Option<Time>,
+    next_maintenance: Time,
 }
 
 /// What the log says of a blocked request, in milliseconds of its clock.
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct Stored {
     /// When the request was blocked.
     since_ms: u64,
     /// When the log took the newest record of it.
     written_ms: u64,
 }
 
-impl Kept {
+impl Stored {
     /// Takes over another record; whether the request was blocked anew by then, after the former block had lapsed.
     fn merge(&mut self, other: Self) -> bool {
-        let is_anew = log_age(other.since_ms, self.since_ms) >= BLOCK_DURATION;
+        let is_anew = log_elapsed(other.since_ms, self.since_ms) >= BLOCK_DURATION;
         let first_ms = other.since_ms.min(self.since_ms);
         self.since_ms = if is_anew { other.since_ms } else { first_ms };
         self.written_ms = other.written_ms.max(self.written_ms);
@@ -65,13 +65,13 @@
 
 impl Node {
     /// A server's present life, as all daemons name it.
-    pub(super) fn victim(&self, server: membership::Key) -> Option<Incarnation> {
+    pub(super) fn incarnation(&self, server: membership::Key) -> Option<Incarnation> {
         let server = self.membership.get(server)?;
         Some(Incarnation::of(&server.vm.id, server.incarnation.as_deref()))
     }
 
     /// Takes over that a connection broke on which a request ran. A server that leaves ends by plan.
-    pub(super) fn connection_lost(
+    pub(super) fn record_disconnect(
         &mut self,
         now: Time,
         request: attempt::Key,
@@ -79,7 +79,8 @@
         ran: Duration,
     ) {
         let Some(fingerprint) = self.fingerprint(request) else { return };
-        let (Some(state), Some(victim)) = (self.membership.get(server), self.victim(server)) else {
+        let (Some(state), Some(victim)) = (self.membership.get(server), self.incarnation(server))
+        else {
             return;
         };
         if state.leaving {
@@ -92,33 +93,36 @@
             pool: xxh3_64(pool.as_bytes()),
             servers: self.membership.pool(pool).count() as u32,
         };
-        let steps =
-            self.watch.record_disconnect(now, suspect, Disconnect { fingerprint, run_time: ran });
-        self.take_steps(now, steps);
+        let steps = self.detector.record_disconnect(
+            now,
+            suspect,
+            Disconnect { fingerprint, run_time: ran },
+        );
+        self.apply_steps(now, steps);
     }
 
     /// Takes over what a look at a server's port found.
     pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
-        let steps = self.watch.record_probe(now, victim, answer);
-        self.take_steps(now, steps);
+        let steps = self.detector.record_probe(now, victim, answer);
+        self.apply_steps(now, steps);
     }
 
     /// Takes over that a life of a server has ended.
-    pub(super) fn has_ended(&mut self, now: Time, victim: Option<Incarnation>) {
+    pub(super) fn record_crash(&mut self, now: Time, victim: Option<Incarnation>) {
         if let Some(victim) = victim {
-            let steps = self.watch.record_crash(now, victim);
-            self.take_steps(now, steps);
+            let steps = self.detector.record_crash(now, victim);
+            self.apply_steps(now, steps);
         }
     }
 
     /// Takes over that a server answered.
-    pub(super) fn lives(&mut self, now: Time, server: membership::Key) {
-        if let Some(victim) = self.victim(server).filter(|_| !self.watch.is_idle()) {
-            self.watch.record_response(now, victim);
+    pub(super) fn record_response(&mut self, now: Time, server: membership::Key) {
+        if let Some(victim) = self.incarnation(server).filter(|_| !self.detector.is_idle()) {
+            self.detector.record_response(now, victim);
         }
     }
 
-    fn take_steps(&mut self, now: Time, steps: Steps) {
+    fn apply_steps(&mut self, now: Time, steps: Steps) {
         let probes = steps.probes.into_iter();
         self.effects.extend(
             probes.map(|Probe { incarnation: victim, address }| Effect::Probe(victim, address)),
@@ -130,11 +134,11 @@
         let present = present.collect::<Vec<String>>().join(" ");
         let detail = Detail::of("requests", steps.interruptions.len()).and("fingerprints", present);
         self.event(Event::ServerEnded, detail);
-        self.tell_peers(&Message::Interruptions(steps.interruptions.clone()));
-        self.strike(now, steps.interruptions);
+        self.send_to_peers(&Message::Interruptions(steps.interruptions.clone()));
+        self.record_interruptions(now, steps.interruptions);
     }
 
-    fn tell_peers(&mut self, message: &Message) {
+    fn send_to_peers(&mut self, message: &Message) {
         let addresses = self.peer_addresses().into_iter();
         let addresses: Vec<SocketAddr> = addresses.map(|(_, address)| address).collect();
         let frames = addresses.into_iter();
@@ -143,47 +147,50 @@
     }
 
     /// Takes over a peer's word.
-    pub(super) fn poison_came(&mut self, now: Time, message: Message) {
+    pub(super) fn handle_poison_message(&mut self, now: Time, message: Message) {
         match message {
-            Message::Interruptions(strikes) => self.strike(now, strikes),
+            Message::Interruptions(strikes) => self.record_interruptions(now, strikes),
             Message::Served(fingerprint) => {
                 let blocked = self.poison.clear_suspect(now, fingerprint);
-                self.announce(now, blocked.unwrap_or_default());
+                self.block_and_announce(now, blocked.unwrap_or_default());
             }
-            Message::Blocked(blocked) => self.hear_blocked(now, &blocked),
+            Message::Blocked(blocked) => self.merge_blocks(now, &blocked),
         }
     }
 
-    fn strike(&mut self, now: Time, strikes: Vec<Interruption>) {
+    fn record_interruptions(&mut self, now: Time, strikes: Vec<Interruption>) {
         let struck = |strike: &Interruption| self.poison.record_interruption(now, *strike);
         let blocked: Vec<Interruption> = strikes.into_iter().filter(struck).collect();
-        self.announce(now, blocked.into_iter().map(|strike| strike.fingerprint).collect());
+        self.block_and_announce(
+            now,
+            blocked.into_iter().map(|strike| strike.fingerprint).collect(),
+        );
     }
 
     /// Tells all peers what is blocked from now on, and refuses it.
-    fn announce(&mut self, now: Time, blocked: Vec<Fingerprint>) {
+    fn block_and_announce(&mut self, now: Time, blocked: Vec<Fingerprint>) {
         if blocked.is_empty() {
             return;
         }
         let new = blocked.iter();
         let new = new.map(|block| Blocked { fingerprint: *block, age: Duration::ZERO }).collect();
-        self.tell_peers(&Message::Blocked(new));
+        self.send_to_peers(&Message::Blocked(new));
         for fingerprint in blocked {
-            self.blocked(now, fingerprint);
+            self.enforce_block(now, fingerprint);
         }
     }
 
     /// Takes over what peers say is blocked.
-    pub(super) fn hear_blocked(&mut self, now: Time, blocked: &[Blocked]) {
+    pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
         for told in blocked {
             if self.poison.merge_block(now, *told) {
-                self.blocked(now, told.fingerprint);
+                self.enforce_block(now, told.fingerprint);
             }
         }
     }
 
     /// Ends the requests that have just been blocked, but for those whose answer has begun.
-    fn blocked(&mut self, now: Time, fingerprint: Fingerprint) {
+    fn enforce_block(&mut self, now: Time, fingerprint: Fingerprint) {
         let detail = self.poison.detail(now, fingerprint);
         self.event(Event::RequestBlocked, detail);
         let same = self.requests.iter().filter(|(_, s)| s.arrival.fingerprint == fingerprint);
@@ -207,10 +214,10 @@
     }
 
     /// Whether a request whose attempt has just broken may be what ends servers, with what is not yet sure.
-    pub(super) fn may_end_servers(&self, now: Time, request: attempt::Key) -> bool {
+    pub(super) fn may_crash_servers(&self, now: Time, request: attempt::Key) -> bool {
         let Some(fingerprint) = self.fingerprint(request) else { return false };
         self.poison
-            .reaches_block_threshold(fingerprint, self.watch.possible_crashes(now, fingerprint))
+            .reaches_block_threshold(fingerprint, self.detector.possible_crashes(now, fingerprint))
     }
 
     fn fingerprint(&self, request: attempt::Key) -> Option<Fingerprint> {
@@ -218,16 +225,16 @@
     }
 
     /// Takes over that a request was answered.
-    pub(super) fn was_served(&mut self, now: Time, request: attempt::Key) {
+    pub(super) fn clear_suspect(&mut self, now: Time, request: attempt::Key) {
         let Some(fingerprint) = self.fingerprint(request) else { return };
         if let Some(blocked) = self.poison.clear_suspect(now, fingerprint) {
-            self.tell_peers(&Message::Served(fingerprint));
-            self.announce(now, blocked);
+            self.send_to_peers(&Message::Served(fingerprint));
+            self.block_and_announce(now, blocked);
         }
     }
 
     /// What runs, and where.
-    pub(super) fn running(&self) -> impl Iterator<Item = (Fingerprint, membership::Key)> {
+    pub(super) fn running_requests(&self) -> impl Iterator<Item = (Fingerprint, membership::Key)> {
         self.requests.values().filter_map(|request| match request.phase {
             Phase::Sent { server, .. } => Some((request.arrival.fingerprint, server)),
             Phase::Claiming | Phase::Waiting => None,
@@ -243,19 +250,19 @@
         let (blocked, lifted) = Record::decode(&record.text)?;
         for Blocked { fingerprint, age } in blocked {
             let since_ms = record.time_ms.saturating_sub(age.as_millis() as u64);
-            let told = Kept { since_ms, written_ms: record.time_ms };
-            let kept = self.blocks.kept.entry(fingerprint).or_insert(told);
+            let told = Stored { since_ms, written_ms: record.time_ms };
+            let kept = self.blocks.stored.entry(fingerprint).or_insert(told);
             // Else the former block's age would end it.
             if kept.merge(told) {
                 self.poison.remove_block(fingerprint);
             }
-            let age = log_age(self.checkpoint.log_ms(now), kept.since_ms);
+            let age = log_elapsed(self.checkpoint.min_log_time_ms(now), kept.since_ms);
             if self.poison.add_stored_block(now, Blocked { fingerprint, age }) {
-                self.blocked(now, fingerprint);
+                self.enforce_block(now, fingerprint);
             }
         }
         for fingerprint in lifted {
-            self.blocks.kept.remove(&fingerprint);
+            self.blocks.stored.remove(&fingerprint);
             if self.poison.lift(now, fingerprint) {
                 self.event(Event::BlockEnded, Detail::of("fingerprint", fingerprint.to_string()));
             }
@@ -265,23 +272,23 @@
 
     /// Looks at servers in doubt, has blocks written, and forgets what is too old. The first live daemon
     /// writes, and again before the log forgets; two that both believe to be first do no harm.
-    pub(super) fn look_at_poison(&mut self, now: Time) {
-        for Probe { incarnation: victim, address } in self.watch.due_probes(now) {
+    pub(super) fn maintain_poison(&mut self, now: Time) {
+        for Probe { incarnation: victim, address } in self.detector.due_probes(now) {
             self.effects.push(Effect::Probe(victim, address));
         }
-        let first = self.is_first(now);
+        let first = self.is_first_live_daemon(now);
         if first {
-            let due = self.poison.due_writes(now, WRITE_AGAIN);
-            self.append_blocked(&due, &[]);
+            let due = self.poison.due_writes(now, WRITE_RETRY_INTERVAL);
+            self.append_blocks(&due, &[]);
         }
-        if now < self.blocks.next_look {
+        if now < self.blocks.next_maintenance {
             return;
         }
-        self.blocks.next_look = now + LOOK;
-        self.age_blocks(now);
+        self.blocks.next_maintenance = now + MAINTENANCE_INTERVAL;
+        self.update_block_ages(now);
         let lapsed = self.poison.expire(now);
         if first {
-            self.append_blocked(&[], &lapsed);
+            self.append_blocks(&[], &lapsed);
         }
         if first {
             self.renew_blocks(now);
@@ -292,35 +299,35 @@
     /// for less than that takes.
     fn renew_blocks(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Blocked).copied().unwrap_or_default();
-        let renewal = Duration::from_secs(reading.retention_s) / RENEW_PART;
-        let pause = renewal.min(RENEW_AGAIN);
-        if !reading.up || self.blocks.renewed.is_some_and(|at| now < at + pause) {
+        let renewal = Duration::from_secs(reading.retention_s) / RENEWAL_RETENTION_DIVISOR;
+        let pause = renewal.min(RENEWAL_RETRY_INTERVAL);
+        if !reading.up || self.blocks.renewed_at.is_some_and(|at| now < at + pause) {
             return;
         }
-        let log_ms = self.checkpoint.log_ms(now);
+        let log_ms = self.checkpoint.min_log_time_ms(now);
         let is_old = |block: &Blocked| {
-            let kept = self.blocks.kept.get(&block.fingerprint);
-            kept.is_some_and(|kept| log_age(log_ms, kept.written_ms) >= renewal)
+            let kept = self.blocks.stored.get(&block.fingerprint);
+            kept.is_some_and(|kept| log_elapsed(log_ms, kept.written_ms) >= renewal)
         };
         let old: Vec<Blocked> = self.poison.blocks(now).filter(is_old).collect();
         if !old.is_empty() {
-            self.blocks.renewed = Some(now);
-            self.append_blocked(&old, &[]);
+            self.blocks.renewed_at = Some(now);
+            self.append_blocks(&old, &[]);
         }
     }
 
     /// Counts the age of blocks by the log's clock: a daemon that starts again reads what is old, and how old that is
     /// shows by what it reads later.
-    fn age_blocks(&mut self, now: Time) {
-        self.blocks.kept.retain(|fingerprint, _| self.poison.is_blocked(*fingerprint));
-        let log_ms = self.checkpoint.log_ms(now);
-        for (fingerprint, kept) in &self.blocks.kept {
-            let age = log_age(log_ms, kept.since_ms);
+    fn update_block_ages(&mut self, now: Time) {
+        self.blocks.stored.retain(|fingerprint, _| self.poison.is_blocked(*fingerprint));
+        let log_ms = self.checkpoint.min_log_time_ms(now);
+        for (fingerprint, kept) in &self.blocks.stored {
+            let age = log_elapsed(log_ms, kept.since_ms);
             self.poison.merge_block(now, Blocked { fingerprint: *fingerprint, age });
         }
     }
 
-    fn append_blocked(&mut self, blocked: &[Blocked], lifted: &[Fingerprint]) {
+    fn append_blocks(&mut self, blocked: &[Blocked], lifted: &[Fingerprint]) {
         if !blocked.is_empty() || !lifted.is_empty() {
             let text = Record::new(blocked, lifted).encode();
             self.effects.push(Effect::AppendBlocked(text));
@@ -329,6 +336,6 @@
 }
 
 /// The time from one moment of the log's clock to a later one, both in milliseconds.
-fn log_age(log_ms: u64, since_ms: u64) -> Duration {
+fn log_elapsed(log_ms: u64, since_ms: u64) -> Duration {
     Duration::from_millis(log_ms.saturating_sub(since_ms))
 }
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -80,7 +80,7 @@
 
 /// One candidate of a placement, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Explained {
+pub struct CandidateStatus {
     /// The server's id.
     pub server: String,
     /// Its place in the rendezvous order of the first level, from 0.
@@ -151,14 +151,14 @@
             ready: self.is_ready(),
             draining: self.draining,
             generation: self.generation(),
-            published: self.force().map(|force| force.published.clone()),
+            published: self.manifest_in_force().map(|force| force.published.clone()),
             lease_holder: self.lease.held().map(|held| held.daemon.clone()),
             log_up: reading.up,
-            vm_list_up: self.vms_up,
+            vm_list_up: self.vm_list_up,
             ledger_known: self.is_ledger_known(),
             ledger_keys: self.ledger.len(),
             residency_entries: self.residency.len(),
-            peers: self.fresh_peers(now).map(|digest| digest.daemon.clone()).collect(),
+            peers: self.live_peers(now).map(|digest| digest.daemon.clone()).collect(),
             servers: servers.collect(),
             waiting: waiting.collect(),
             requests_blocked: self.poison.blocks(now).count(),
@@ -168,17 +168,17 @@
     }
 
     /// Where a request would go now, the best candidate first, without taking it.
-    pub fn explain(&mut self, now: Time, arrival: Arrival) -> Vec<Explained> {
+    pub fn explain(&mut self, now: Time, arrival: Arrival) -> Vec<CandidateStatus> {
         let request = arrival.request;
         self.requests.insert(request, Request::new(arrival, now, Phase::Waiting));
-        let scored = self.score(now, request, false);
+        let scored = self.score_candidates(now, request, false);
         self.requests.remove(&request);
-        scored.into_iter().map(|scored| self.explained(scored)).collect()
+        scored.into_iter().map(|scored| self.candidate_status(scored)).collect()
     }
 
-    fn explained(&self, scored: Scored) -> Explained {
+    fn candidate_status(&self, scored: Scored) -> CandidateStatus {
         let server = self.membership.get(scored.key);
-        Explained {
+        CandidateStatus {
             server: server.map_or_else(String::new, |server| server.vm.id.clone()),
             rank: scored.rank,
             cached_tokens: scored.cached_tokens,
--- a/src/control/tests/at_most_once.rs
+++ b/src/control/tests/at_most_once.rs
@@ -2,7 +2,7 @@
 //! one receipt.
 
 use super::world::{Answer, Faults, World};
-use crate::control::{Appended, Message, Policy, Read, Record, Stream};
+use crate::control::{AppendResult, Message, Policy, Read, Record, Stream};
 use crate::peer::Frame;
 use crate::prelude::*;
 
@@ -104,7 +104,7 @@
     let request = world.pay(0, Some("k"));
     assert_eq!(world.answers.get(&request), None);
     world.actions.clear();
-    world.tell(0, Message::Appended { number: 1, result: Appended::Unknown });
+    world.tell(0, Message::Appended { number: 1, result: AppendResult::Unknown });
     for _ in 0..10 {
         world.now += Duration::from_millis(500);
         world.tell(1, Message::Tick);
--- a/src/control/tests/blocks.rs
+++ b/src/control/tests/blocks.rs
@@ -159,7 +159,7 @@
             Identity { id: "router-0".into(), incarnation: self.now_ms, zone: "z".into() };
         let mut node = Node::new(identity, Policy::default());
         let vms = World::new(1, 1, Faults::default()).vms();
-        node.apply(Time::ZERO, Message::Vms(vms));
+        node.apply(Time::ZERO, Message::VmList(vms));
         let (mut now, mut at_start) = (Time::ZERO, None);
         while now < life {
             for stream in Stream::ALL {
--- a/src/control/tests/checkpoints.rs
+++ b/src/control/tests/checkpoints.rs
@@ -80,7 +80,7 @@
             zone: "z".into(),
             standing: Standing::Live,
         };
-        node.apply(Time::ZERO, Message::Vms(vec![vm]));
+        node.apply(Time::ZERO, Message::VmList(vec![vm]));
         let mut now = Time::ZERO;
         let mut at_start = None;
         while now < life {
--- a/src/control/tests/manifests.rs
+++ b/src/control/tests/manifests.rs
@@ -192,7 +192,7 @@
             let digest = Digest { daemon, generation: 9, ..Digest::default() };
             world.nodes[0].apply(world.now, Message::Frame(Frame::Digest(digest)));
         }
-        world.nodes[0].apply(world.now, Message::Vms(routers(194)));
+        world.nodes[0].apply(world.now, Message::VmList(routers(194)));
         let effects = world.nodes[0].apply(world.now, Message::Tick);
         let ask = |effect: &&Effect| matches!(effect, Effect::Send(_, Frame::Ask(_)));
         asks += effects.iter().filter(ask).count();
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -151,7 +151,7 @@
         let copy = Copy { level, server: "engine-1".into(), incarnation: incarnation.into() };
         let digest = Digest { daemon: "router-9".into(), copies: vec![copy], ..Digest::default() };
         bench.apply(Message::Frame(Frame::Digest(digest)));
-        let depth = bench.world.nodes[0].depth(bench.world.now, &prefix);
+        let depth = bench.world.nodes[0].cached_depth(bench.world.now, &prefix);
         assert_eq!(depth.len(), holders, "{incarnation}");
     }
 }
@@ -281,7 +281,7 @@
                 for vm in vms.iter_mut().filter(|vm| vm.id == "engine-0") {
                     vm.standing = Standing::Leaving;
                 }
-                bench.apply(Message::Vms(vms));
+                bench.apply(Message::VmList(vms));
             }
             1 => {
                 let leaving = crate::membership::Report { leaving: true, ..report("one", "v1") };
@@ -295,7 +295,7 @@
         }
         // The VM list lags and still calls it live.
         let vms = bench.world.vms();
-        bench.apply(Message::Vms(vms));
+        bench.apply(Message::VmList(vms));
         for text in ["a", "b", "c", "d", "e", "f"] {
             let (request, effects) = bench.ask_about(text, "w", "v1");
             let dispatch = dispatched(&effects).expect("it is dispatched");
@@ -312,11 +312,11 @@
 fn leaving_server_heard_of_before_the_list_gets_nothing() {
     let mut bench = Bench { world: World::new(1, 1, Faults::default()), next: 0 };
     let vms = bench.world.vms();
-    bench.apply(Message::Vms(Vec::new()));
+    bench.apply(Message::VmList(Vec::new()));
     let leaving = vec!["engine-0".to_owned()];
     let digest = Digest { daemon: "router-9".into(), leaving, ..Digest::default() };
     bench.apply(Message::Frame(Frame::Digest(digest)));
-    bench.apply(Message::Vms(vms));
+    bench.apply(Message::VmList(vms));
     for id in ["engine-0", "engine-1"] {
         bench.polled(id, report("one", "v1"));
     }
--- a/src/control/tests/world.rs
+++ b/src/control/tests/world.rs
@@ -169,7 +169,7 @@
 
     /// What a node learns right after its start.
     pub fn boot(&mut self, index: usize) {
-        self.tell(index, Message::Vms(self.vms()));
+        self.tell(index, Message::VmList(self.vms()));
         self.read(index, Stream::Manifest);
         self.read(index, Stream::Ledger);
         self.read(index, Stream::Lease);
@@ -249,7 +249,7 @@
                 self.actions.push(Action::Land(Stream::Manifest, text));
                 self.later(index, Message::Checkpointed);
             }
-            Effect::Force(force) => self.generations[index].push(force.generation),
+            Effect::UseManifest(force) => self.generations[index].push(force.generation),
             Effect::Poll { server, .. } => self.later(index, Message::PollFailed(server)),
             Effect::AppendBlocked(text) => self.land(Stream::Blocked, text),
             // No server ends here: answers are lost.
@@ -270,12 +270,12 @@
         let fails = self.log_down || self.chance(self.faults.append);
         let fate = if fails { self.rng.u32(1..=4) } else { 0 };
         let result = match fate {
-            0 => Appended::Landed,
-            1 => Appended::Refused,
-            _ => Appended::Unknown,
+            0 => AppendResult::Written,
+            1 => AppendResult::Refused,
+            _ => AppendResult::Unknown,
         };
         match fate {
-            // Landed, and its answer lost.
+            // Written, and its answer lost.
             0 | 2 => self.land(Stream::Ledger, text),
             // Lands at some later time, or never.
             3 => self.actions.push(Action::Land(Stream::Ledger, text)),
--- a/src/daemon/carrier.rs
+++ b/src/daemon/carrier.rs
@@ -6,7 +6,7 @@
 
 use super::Control;
 use crate::clients;
-use crate::control::{Appended, Effect, Message, Stream};
+use crate::control::{AppendResult, Effect, Message, Stream};
 use crate::membership;
 use crate::order::Order;
 use crate::peer::{Frame, Links};
@@ -27,7 +27,7 @@
     /// Carries one effect out; those for requests and the manifest are not its own.
     pub(super) fn carry(&mut self, effect: Effect) {
         match effect {
-            Effect::Command(..) | Effect::Force(_) => {}
+            Effect::Command(..) | Effect::UseManifest(_) => {}
             Effect::Append { number, text } => self.append(number, text),
             Effect::AppendLease(text) => self.append_lease(text),
             Effect::Order { server, address, order } => self.order(server, address, &order),
@@ -44,7 +44,7 @@
         let (control, address) = (self.control.clone(), self.log_service);
         let append = async move {
             let result = match clients::log::append(address, Stream::Ledger, text).await {
-                Ok(_) => Appended::Landed,
+                Ok(_) => AppendResult::Written,
                 Err(result) => result,
             };
             control.tell(Message::Appended { number, result });
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -10,7 +10,7 @@
 
 use super::carrier::Carrier;
 use crate::attempt::{self, Arrival, Command};
-use crate::control::{Effect, Explained, Message, Node, Status, Stream};
+use crate::control::{CandidateStatus, Effect, Message, Node, Status, Stream};
 use crate::manifest::Force;
 use crate::prelude::*;
 
@@ -40,7 +40,7 @@
     Message(Message),
     Open(Box<Arrival>, Sender<Command>),
     Status(Sender<Status>),
-    Explain(Box<Arrival>, Sender<Vec<Explained>>),
+    Explain(Box<Arrival>, Sender<Vec<CandidateStatus>>),
 }
 
 /// What other threads see of the node without asking it.
@@ -119,7 +119,7 @@
     }
 
     /// Where a request would go now.
-    pub async fn explain(&self, arrival: Arrival) -> Option<Vec<Explained>> {
+    pub async fn explain(&self, arrival: Arrival) -> Option<Vec<CandidateStatus>> {
         let (sender, receiver) = async_channel::bounded(1);
         self.mailbox.try_send(Letter::Explain(Box::new(arrival), sender)).ok()?;
         receiver.recv().await.ok()
@@ -203,7 +203,7 @@
                     sender.try_send(*command).ok();
                 }
             }
-            Effect::Force(force) => {
+            Effect::UseManifest(force) => {
                 if let Ok(mut current) = control.view.force.write() {
                     *current = Some(force);
                 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -181,8 +181,8 @@
     let watch = async move {
         loop {
             let message = match clients::vms::read(address).await {
-                Ok(vms) => Message::Vms(vms),
-                Err(_) => Message::VmsDown,
+                Ok(vms) => Message::VmList(vms),
+                Err(_) => Message::VmListDown,
             };
             control.tell(message);
             Timer::after(interval).await;
--- a/standin/src/replay/world/daemons.rs
+++ b/standin/src/replay/world/daemons.rs
@@ -37,7 +37,7 @@
             | Effect::Checkpoint(_)
             | Effect::AppendBlocked(_)
             | Effect::Probe(..)
-            | Effect::Force(_)
+            | Effect::UseManifest(_)
             | Effect::Event(..) => {}
         }
     }
@@ -114,7 +114,7 @@
             };
             self.tell(index, message);
         }
-        let message = if down { Message::VmsDown } else { Message::Vms(self.vms()) };
+        let message = if down { Message::VmListDown } else { Message::VmList(self.vms()) };
         self.tell(index, message);
     }
 
