--- a/src/control/arrivals.rs
+++ b/src/control/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to a server: taken, queued, refused in time.
+//! Admission of requests: arrival, queueing, refusal and expiry.
 
 use super::Node;
 use crate::admission::{self, Entry, Full};
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Puts a request in its pool's queue, or refuses it at once.
+    /// Puts a request in its pool's queue, holds it for engine reports, or refuses it.
     pub(super) fn admit(&mut self, now: Time, request: attempt::Key) {
         let Some(state) = self.requests.get(&request) else {
             return;
@@ -78,15 +78,15 @@
         self.dispatch_waiting(now, &pool);
     }
 
-    /// Whether an engine may have the weights that the request needs though it did not report them: engines
-    /// load them up to the moment at which they come into force, and a report tells of when it was asked for.
+    /// Whether an engine may hold the request's weights without having reported them. Engines load weights up
+    /// to the moment these come into force, and a report shows the state at the time of its poll.
     fn may_be_served_later(&self, request: attempt::Key) -> bool {
         let Some(state) = self.requests.get(&request) else { return false };
         let mut servers = self.membership.pool(&state.arrival.pool);
         servers.any(|(_, server)| server.is_awaited_since(self.in_force_since))
     }
 
-    /// Looks again at the requests that wait for engines' reports.
+    /// Admits the requests that wait for engine reports again.
     pub(super) fn retry_admission(&mut self, now: Time) {
         for request in std::mem::take(&mut self.awaiting_reports) {
             self.admit(now, request);
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -1,4 +1,4 @@
-//! How the servers look to this daemon: load, cached prefix, free slots.
+//! Candidate servers of a request: load, cached prefix and free slots as this daemon knows them.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,13 +12,13 @@
 use crate::prefix::{BLOCK_TOKENS, Depth, Key, Prefix};
 use crate::prelude::*;
 
-/// Engine time a second that one copy of a first level is meant to carry, in milliseconds.
+/// Work that one copy of a first level should carry, in milliseconds of engine time a second.
 const COPY_LOAD_MS_PER_S: f64 = 500.0;
-/// Milliseconds of engine time assumed for one answer token.
+/// Engine time assumed for one answer token, in milliseconds.
 const ANSWER_TOKEN_MS: f64 = 2.0;
 
 impl Node {
-    /// Digests of peers that are still fresh.
+    /// Digests of live peers.
     pub(super) fn live_peers(&self, now: Time) -> impl Iterator<Item = &peer::Digest> {
         let lifetime = self.policy.digest_lifetime;
         self.peers
@@ -27,7 +27,7 @@
             .map(|peer| &peer.digest)
     }
 
-    /// Servers that may be given `request` now.
+    /// Servers that can take `request` now.
     pub(super) fn usable_servers(
         &self,
         now: Time,
@@ -42,7 +42,7 @@
     }
 
     /// The candidates for `request` with their costs, the best first. Servers that failed it
-    /// before are left out as long as there are others.
+    /// before are left out while there are others.
     pub(super) fn score_candidates(
         &self,
         now: Time,
@@ -81,7 +81,7 @@
         choose(ask, &candidates)
     }
 
-    /// Leading blocks that each server holds or, by peers' digests, soon will.
+    /// Number of leading blocks that each server holds or, by peers' digests, will soon hold.
     pub(super) fn cached_depth(&self, now: Time, prefix: &Prefix) -> Depth {
         let mut depth = self.residency.depth(&prefix.blocks);
         let (Some(level), Some(end)) = (prefix.level(0), prefix.levels.first()) else {
@@ -99,7 +99,7 @@
         depth
     }
 
-    /// Most leading blocks at any engine that answers, leaving ones included.
+    /// Maximum number of leading blocks at a reachable engine, leaving ones included.
     fn max_reachable_depth(&self, depth: &Depth) -> usize {
         let answers =
             |key: &membership::Key| self.membership.get(*key).is_some_and(Server::is_reachable);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Work at a server from this daemon and, by their digests, from its peers.
+    /// Work at a server from this daemon and, by their digests, from live peers.
     pub(super) fn total_load(&self, now: Time, key: membership::Key, id: &str) -> peer::Busy {
         let mut sum = self.busy.get(&key).copied().unwrap_or_default();
         for digest in self.live_peers(now) {
@@ -153,7 +153,7 @@
         sum
     }
 
-    /// How many servers may hold a copy of `level`, by the work it brings over all daemons.
+    /// Maximum number of servers that hold a copy of `level`, from its work over all daemons.
     fn max_copies(&self, now: Time, level: Option<Key>, servers: usize) -> usize {
         let Some(level) = level else { return servers };
         let peers: f64 = self
@@ -167,8 +167,8 @@
         (copies as usize).min(servers.max(1))
     }
 
-    /// Notes that a request was dispatched: its slot, its prefill, the heat of its first level,
-    /// and the blocks that its server will hold.
+    /// Records a dispatch: the slot, the prefill, the heat of the first level and the blocks that
+    /// the server will hold.
     pub(super) fn record_dispatch(
         &mut self,
         now: Time,
@@ -193,14 +193,14 @@
         self.heat.note(now, level, work_ms + ANSWER_TOKEN_MS);
     }
 
-    /// Notes that a server has computed a request's prompt.
+    /// Records that a server has computed a request's prompt.
     pub(super) fn record_prompt_computed(&mut self, server: membership::Key, pending_tokens: u32) {
         if let Some(busy) = self.busy.get_mut(&server) {
             busy.pending_tokens = busy.pending_tokens.saturating_sub(pending_tokens);
         }
     }
 
-    /// Frees the slot of a request that was dispatched.
+    /// Frees the slot of a dispatched request.
     pub(super) fn release_slot(&mut self, now: Time, state: &Request) {
         let Phase::Sent { server, at, pending_tokens, begun } = state.phase else {
             return;
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Keyed requests: claimed on the log before they may run, and answered from what is known.
+//! Requests with an idempotency key: claimed on the log before they run, or answered from the ledger.
 
 use super::{Node, Stream};
 use crate::attempt::{self, Command, Phase, Refusal};
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 impl Node {
-    /// Answers a keyed request from what is known of its key, or claims it.
+    /// Answers a keyed request from the ledger, or claims its key.
     pub(super) fn claim(&mut self, now: Time, request: attempt::Key, ask: &ledger::Ask) {
         if self.ledger.get(&ask.key).is_some() {
             return self.answer_from_ledger(now, request);
@@ -29,7 +29,7 @@
         self.claims.insert(request, id);
     }
 
-    /// Answers a keyed request from what the ledger knows of its key.
+    /// Answers a keyed request from the ledger's entry for its key.
     fn answer_from_ledger(&mut self, now: Time, request: attempt::Key) {
         let Some(ask) = self.requests.get(&request).and_then(|r| r.arrival.claim.clone()) else {
             return;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Whether the incarnation that made the claim still runs, as far as is known. One that was not heard has
-    /// ended only where this daemon has listened for as long as a digest counts.
+    /// Whether the daemon incarnation that made the claim is believed to run. One without a live digest
+    /// counts as ended once this daemon has been listening for the lifetime of a digest.
     fn is_claimant_running(&self, now: Time, claim: &ledger::ClaimId) -> bool {
         if claim.daemon == self.identity.id {
             return self.pending.is_own(claim);
@@ -94,7 +94,7 @@
         self.admit(now, request);
     }
 
-    /// Refuses a request, and releases its claim if no attempt of it may have run.
+    /// Refuses a request and releases its claim, unless an attempt may have run.
     pub(super) fn release_and_refuse(
         &mut self,
         now: Time,
@@ -105,7 +105,7 @@
         self.refuse(now, request, refusal);
     }
 
-    /// Notes on the ledger what came of a claimed request that ends now.
+    /// Records the outcome of a claimed request that ends now in the ledger.
     pub(super) fn record_claim_outcome(
         &mut self,
         request: attempt::Key,
@@ -131,7 +131,7 @@
         });
     }
 
-    /// Gives up claims that took too long through the log.
+    /// Refuses requests whose claim has timed out or whose deadline has passed while claiming.
     pub(super) fn expire_claims(&mut self, now: Time) {
         let claim_timeout = self.policy.claim_timeout;
         let stuck: Vec<attempt::Key> = self
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,27 +1,27 @@
-//! Waiting requests sent to servers: which goes next, where, and with what import.
+//! Dispatch of waiting requests: choice of the next request, its server and its import.
 
 use super::Node;
 use crate::attempt::{self, Command, Dispatch, Import, Phase, Request, Target};
 use crate::membership;
 use crate::prelude::*;
 
-/// Waiting requests that are looked at for a free server, at most.
+/// Maximum number of waiting requests that are checked for a free server.
 const MAX_SCANNED_REQUESTS: usize = 32;
-/// The part of the time to its deadline that a request is held for a better, full server.
+/// A request waits for a better, full server for at most the time to its deadline divided by this.
 const HOLD_DEADLINE_DIVISOR: u32 = 4;
 
-/// Where a request goes, and what it costs there.
+/// Server chosen for a request, with the work it causes there.
 #[derive(Debug, Clone, Copy)]
 struct Placement {
     server: membership::Key,
-    /// Prompt tokens that the work until the first token is worth.
+    /// Work until the first token, in prompt tokens.
     pending_tokens: u32,
-    /// Leading blocks to have after an import; 0 for none.
+    /// Leading blocks that the server holds after an import; 0 for no import.
     import_blocks: usize,
 }
 
 impl Node {
-    /// Sends waiting requests of `pool` to servers with free slots, in the queue's order.
+    /// Sends waiting requests of `pool` to servers with free slots, in queue order.
     pub(super) fn dispatch_waiting(&mut self, now: Time, pool: &str) {
         loop {
             let Some(queue) = self.queues.get(pool) else {
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The server for a waiting request; `None` while every fitting one is full, or a full one is
-    /// worth waiting for.
+    /// Chooses the server for a waiting request. `None` while all eligible servers are full or a
+    /// full one is worth waiting for.
     fn place(&self, now: Time, request: attempt::Key) -> Option<Placement> {
         let state = self.requests.get(&request)?;
         if let Some((server, _)) = &state.stream
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Where `server` is to import the first `blocks` blocks from: the holder that is least busy.
+    /// Chooses the least loaded holder from which `server` imports the first `blocks` blocks.
     fn choose_import(
         &self,
         now: Time,
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a [`Node`](super::Node).
+//! Inputs and outputs of a [`Node`](super::Node).
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,16 @@
 use crate::poison::{Answer, Incarnation};
 use crate::prelude::*;
 
-/// The streams on the log that the system uses.
+/// Streams of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stream {
     /// Manifests.
     Manifest,
-    /// Claims and outcomes of keyed requests.
+    /// Claims and outcomes of requests with an idempotency key.
     Ledger,
-    /// The lease to order engines.
+    /// Lease for sending orders to engines.
     Lease,
-    /// Requests that are blocked.
+    /// Blocked requests.
     Blocked,
 }
 
@@ -27,7 +27,7 @@
     /// Every stream.
     pub const ALL: [Self; 4] = [Self::Manifest, Self::Ledger, Self::Lease, Self::Blocked];
 
-    /// Its name on the log.
+    /// The stream's name on the log.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Manifest => "manifest",
@@ -43,7 +43,7 @@
 pub struct Record {
     /// Its offset.
     pub offset: u64,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When it was written, in milliseconds of the log's clock.
     pub time_ms: u64,
     /// Its text.
     pub text: String,
@@ -52,7 +52,7 @@
 /// A successful read of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Read {
-    /// The oldest offset that the log still has.
+    /// Offset of the oldest record that is still on the log.
     pub first: u64,
     /// The offset after the newest record.
     pub next: u64,
@@ -62,23 +62,23 @@
     pub records: Vec<Record>,
 }
 
-/// How an append ended.
+/// Result of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendResult {
-    /// It landed.
+    /// The record was written.
     Written,
-    /// It did not and will not land.
+    /// The record was not written and will not be.
     Refused,
-    /// It is not known whether it landed or will.
+    /// The record may have been written or may still be.
     Unknown,
 }
 
-/// What a node is told.
+/// Input of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// A request came.
+    /// A request arrived.
     Arrive(Box<attempt::Arrival>),
-    /// Traffic reports of an attempt.
+    /// An attempt's state changed.
     Report {
         /// The request.
         request: attempt::Key,
@@ -95,10 +95,10 @@
     Appended {
         /// The append's number.
         number: u64,
-        /// How it ended.
+        /// Its result.
         result: AppendResult,
     },
-    /// An order to an engine ended; whether the engine took it.
+    /// An order to an engine ended. The flag says whether the engine accepted it.
     Ordered(membership::Key, bool),
     /// An append of a checkpoint ended.
     Checkpointed,
@@ -110,20 +110,20 @@
     Polled(membership::Key, Box<membership::Report>),
     /// An engine did not report.
     PollFailed(membership::Key),
-    /// A look was taken at the port of a server that may have ended.
+    /// A probe of a server that may have crashed ended.
     Probed(Incarnation, Answer),
     /// A frame came from a peer.
     Frame(Frame),
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
     /// Time has passed.
     Tick,
 }
 
-/// What a node wants done.
+/// Action that a node requests from its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Tell traffic about a request.
+    /// Send a command about a request to the traffic side.
     Command(attempt::Key, Box<attempt::Command>),
     /// Append to the ledger stream.
     Append {
@@ -134,11 +134,11 @@
     },
     /// Append a record to the lease stream.
     AppendLease(String),
-    /// Give an order to an engine.
+    /// Send an order to an engine.
     Order {
         /// The engine.
         server: membership::Key,
-        /// Where it listens.
+        /// Its address.
         address: SocketAddr,
         /// The order.
         order: Order,
@@ -147,17 +147,17 @@
     Checkpoint(String),
     /// Append a record to the stream of blocked requests.
     AppendBlocked(String),
-    /// Look whether somebody listens where a server did that may have ended.
+    /// Probe the address of a server that may have crashed.
     Probe(Incarnation, SocketAddr),
-    /// Make this manifest the one that traffic uses.
+    /// Make traffic use this manifest.
     UseManifest(Arc<manifest::Force>),
     /// Poll an engine.
     Poll {
         /// The engine.
         server: membership::Key,
-        /// Where it listens.
+        /// Its address.
         address: SocketAddr,
-        /// The sequence number of the first cache event wanted.
+        /// Sequence number of the first cache event to return.
         from: u64,
     },
     /// Send a frame to a peer.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! The composed decision state of one daemon.
 //!
-//! [`Node::apply`] takes a message and the time and returns what is to be done. It has no socket,
-//! clock, thread or randomness of its own, so the daemon, a replay in virtual time and a history
-//! check all drive the same code.
+//! [`Node::apply`] takes a message and the time and returns the effects to carry out. It uses no
+//! socket, clock, thread or randomness. The daemon, a replay in virtual time and a history check
+//! all drive the same code.
 
 mod arrivals;
 mod candidates;
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and where each message goes.
+//! State of a node and dispatch of its messages.
 
 use serde::Serialize;
 
@@ -15,33 +15,33 @@
 use crate::prefix::{self, Residency};
 use crate::prelude::*;
 
-/// Entries of the residency table at most; about 100 bytes each.
+/// Maximum size of the residency table. An entry takes about 100 bytes.
 const MAX_RESIDENCY_ENTRIES: usize = 1_000_000;
 
-/// Time without any message after which this daemon was frozen: ticks come some fifty times a second.
+/// Minimum gap between messages that counts as a freeze of this daemon. Ticks come about 50 times a second.
 const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Who this daemon is.
+/// Identity of this daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// The VM's id in the VM list.
+    /// Id of its VM in the VM list.
     pub id: String,
-    /// Chosen at random at every start.
+    /// Random number drawn at each start.
     pub incarnation: u64,
     /// Its availability zone.
     pub zone: String,
 }
 
-/// Intervals and bounds of a node.
+/// Intervals and time limits of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// Between polls of one engine.
+    /// Time between polls of one engine.
     pub poll_interval: Duration,
-    /// Between digests to peers.
+    /// Time between digests to peers.
     pub digest_interval: Duration,
-    /// After which a peer's digest no longer counts.
+    /// Age from which a peer's digest is ignored.
     pub digest_lifetime: Duration,
-    /// Time that a claim may take through the log.
+    /// Maximum time for a claim to be written to the log and read back.
     pub claim_timeout: Duration,
 }
 
@@ -56,39 +56,39 @@
     }
 }
 
-/// What is known of a peer.
+/// Last digest of a peer.
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
     pub(super) digest: peer::Digest,
     pub(super) received_at: Time,
 }
 
-/// State of one stream of the log as this daemon reads it.
+/// Read state of one stream of the log.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Reading {
     /// Whether the last read succeeded.
     pub(super) up: bool,
-    /// The tail that the first read since the start found.
+    /// Tail offset that the first read since the start returned.
     pub(super) tail_at_start: Option<u64>,
-    /// The tail that the last read found.
+    /// Tail offset that the last read returned.
     pub(super) tail: u64,
     /// Seconds for which the log keeps records.
     pub(super) retention_s: u64,
 }
 
-/// Where the polls of one engine stand.
+/// Poll state of one engine.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Poll {
-    /// The next is due then.
+    /// The next poll is due at this time.
     Due(Time),
-    /// One was sent then and has not ended.
+    /// A poll was sent at this time and has not ended.
     Sent(Time),
 }
 
-/// Running means of one pool.
+/// Moving averages of one pool.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Averages {
-    /// Milliseconds for which a request holds its slot.
+    /// Time for which a request holds its slot, in milliseconds.
     pub(super) hold_ms: f64,
 }
 
@@ -101,17 +101,17 @@
 /// Counts since the start, for operators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests taken.
+    /// Requests received.
     pub arrived: u64,
     /// Requests finished.
     pub finished: u64,
-    /// Requests given up.
+    /// Requests refused with an error.
     pub refused: u64,
     /// Attempts after the first.
     pub retried: u64,
-    /// Prompt tokens of begun answers.
+    /// Prompt tokens of requests whose answer has begun.
     pub prompt_tokens: u64,
-    /// Of these, found in a cache.
+    /// Prompt tokens among these that were found in a cache.
     pub cached_tokens: u64,
     /// Log records that could not be read.
     pub unreadable_records: u64,
@@ -126,7 +126,7 @@
     pub(super) membership: membership::State,
     pub(super) residency: Residency,
     pub(super) heat: Heat,
-    /// When this daemon last sent a first level somewhere.
+    /// Time at which this daemon last had a server compute a first level.
     pub(super) copies: BTreeMap<(prefix::Key, membership::Key), Time>,
     pub(super) queues: BTreeMap<String, Queue>,
     pub(super) averages: BTreeMap<String, Averages>,
@@ -134,33 +134,33 @@
     pub(super) busy: BTreeMap<membership::Key, peer::Busy>,
     pub(super) budget: Budget,
     pub(super) lease: lease::State,
-    /// When engines were given the orders that they carry out.
+    /// Time at which each order that is still being executed was sent.
     pub(super) pending_orders: BTreeMap<membership::Key, Time>,
-    /// When engines had carried out an order that no report shows yet.
+    /// Time at which each engine executed an order whose result no report shows yet.
     pub(super) unreported_orders: BTreeMap<membership::Key, Time>,
-    /// When the manifest in force was taken over.
+    /// Time since which the manifest in force has been in force here.
     pub(super) in_force_since: Time,
-    /// The generation that was last put in force here.
+    /// Generation of the manifest last applied here.
     pub(super) applied_generation: u64,
-    /// Whether a peer told what it has in force that is no older than what was folded here.
+    /// Whether a peer has sent a manifest no older than the one read from the log.
     pub(super) has_peer_manifest: bool,
     pub(super) ledger: ledger::State,
     pub(super) pending: ledger::Pending,
     pub(super) claims: BTreeMap<attempt::Key, ledger::ClaimId>,
     pub(super) readings: BTreeMap<Stream, Reading>,
     pub(super) peers: BTreeMap<String, Peer>,
-    /// Since when this daemon has heard peers that speak: its start, or the end of a freeze.
+    /// Time since which this daemon has been receiving digests without a gap: its start or the end of a freeze.
     pub(super) listening_since: Time,
     applied_at: Time,
     pub(super) polls: BTreeMap<membership::Key, Poll>,
-    /// Requests for weights that an engine may have which has not been asked since they are in force.
+    /// Requests whose weights may be at an engine that has not reported since the manifest came into force.
     pub(super) awaiting_reports: BTreeSet<attempt::Key>,
     pub(super) next_digest: Time,
     pub(super) next_snapshot_request: Time,
     pub(super) checkpoint: super::platform::Checkpointing,
-    /// Requests that end servers.
+    /// Requests that crash servers.
     pub(super) poison: poison::State,
-    /// Servers that may have ended under requests.
+    /// Servers that may have crashed while they ran requests.
     pub(super) detector: poison::Detector,
     pub(super) blocks: super::poison::Blocks,
     pub(super) vm_list_up: bool,
@@ -171,7 +171,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node with empty state.
     pub fn new(identity: Identity, policy: Policy) -> Self {
         let pending = ledger::Pending::new(identity.id.clone(), identity.incarnation);
         let lease =
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Takes `message` at time `now`; returns what is to be done, in order.
+    /// Handles `message` at time `now`. Returns the effects to carry out, in order.
     pub fn apply(&mut self, now: Time, message: Message) -> Vec<Effect> {
         if now > self.applied_at + FREEZE_THRESHOLD {
             self.listening_since = now;
@@ -247,7 +247,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The offset from which `stream` is to be read next.
+    /// The offset at which the next read of `stream` starts.
     pub fn next_offset(&self, stream: Stream) -> u64 {
         match stream {
             Stream::Manifest => self.manifest.next(),
@@ -257,15 +257,15 @@
         }
     }
 
-    /// Whether the platform's balancer may send callers here.
+    /// Whether the platform's load balancer may send callers here.
     pub fn is_ready(&self) -> bool {
         let known =
             self.manifest_in_force().is_some() && self.blocks_known() && self.membership_known();
         known && !self.draining
     }
 
-    /// The manifest in force, once all records that the first read found are folded, or a peer has told its
-    /// own: after a part of them, what they say may have been overtaken long ago.
+    /// The manifest in force. `None` until all records that the first read found are folded or a peer has
+    /// sent its manifest, since a partial fold may give a long superseded manifest.
     pub(super) fn manifest_in_force(&self) -> Option<&Arc<manifest::Force>> {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
         let known = reading.tail_at_start.is_some_and(|tail| self.manifest.next() >= tail);
@@ -277,8 +277,8 @@
         self.manifest_in_force().map_or(0, |force| force.generation)
     }
 
-    /// Whether the stream of blocked requests was read to the tail that the first read found, or asked in vain:
-    /// what is blocked and not known yet would end another server.
+    /// Whether the stream of blocked requests was read to the tail that the first read found, or can't be
+    /// read. A blocked request that is not known yet would crash another server.
     fn blocks_known(&self) -> bool {
         let reading = self.readings.get(&Stream::Blocked);
         reading.is_some_and(|reading| {
@@ -286,8 +286,8 @@
         })
     }
 
-    /// Whether the VM list was read and every pool has a server that is known, or whose engines
-    /// have all been asked in vain.
+    /// Whether the VM list was read and each pool has a known server or no engine whose first report
+    /// is still awaited.
     fn membership_known(&self) -> bool {
         let mut pools: BTreeMap<&str, (bool, bool)> = BTreeMap::new();
         for (_, server) in self.membership.iter() {
@@ -303,7 +303,7 @@
         self.draining
     }
 
-    /// Whether a planned stop may end: no request is open and nothing waits to be appended.
+    /// Whether a planned stop may end: no request is open and no append is pending.
     pub fn is_drained(&self) -> bool {
         self.draining && self.requests.is_empty() && self.pending.is_idle()
     }
@@ -344,8 +344,8 @@
         self.effects.push(Effect::Command(request, Box::new(command)));
     }
 
-    /// Ends a request with a final answer that this router makes itself; it never says "not run" of
-    /// one that may have run.
+    /// Ends a request with an error made by this router. The error never says "not run" where an
+    /// attempt may have run.
     pub(super) fn refuse(
         &mut self,
         now: Time,
@@ -361,7 +361,7 @@
         self.forget(now, request);
     }
 
-    /// Removes a request and frees what it holds.
+    /// Removes a request and frees its queue entry, claim or slot.
     pub(super) fn forget(&mut self, now: Time, request: attempt::Key) {
         self.claims.remove(&request);
         let Some(state) = self.requests.remove(&request) else {
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -1,13 +1,13 @@
-//! The lease on the log, and the orders that its holder gives.
+//! The lease on the log and the orders that its holder sends.
 
 use super::{Effect, Node, Stream};
 use crate::membership;
 use crate::order::{Order, Want, plan};
 use crate::prelude::*;
 
-/// Time after which an order that had no effect is given again.
+/// Time after which an order that had no effect is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(30);
-/// Time for which versions stay loaded that the manifest no longer names: streams under them end.
+/// Time before versions that the manifest no longer names are unloaded, in which streams under them end.
 const UNLOAD_DELAY: Duration = Duration::from_secs(60);
 
 impl Node {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Gives the orders that are due, while this daemon holds the lease.
+    /// Sends the orders that are due, while this daemon holds the lease.
     pub(super) fn schedule_orders(&mut self, now: Time) {
         self.pending_orders.retain(|_, at| now < *at + ORDER_RETRY_INTERVAL);
         let Some(fence) = self.lease.fence(now) else { return };
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether what the manifest in force does not name is needed by none: it is the newest, as far as the log
-    /// can tell now, and every peer that is heard has it too.
+    /// Whether versions that the manifest in force doesn't name can be unloaded: it is the newest on the log
+    /// and in force at all live peers, and the unload delay has passed.
     fn may_unload(&self, now: Time, generation: u64) -> bool {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
         let newest = reading.up && self.manifest.next() >= reading.tail;
@@ -55,8 +55,8 @@
         newest && everywhere && now >= self.in_force_since + UNLOAD_DELAY
     }
 
-    /// An order ended; one that was refused is given again after a while. What the engine has now is not in
-    /// what it reported before, by which the order would be given again.
+    /// Handles the end of an order. A refused order is sent again later. After an accepted one, the engine is
+    /// polled at once, since its last report would cause the order to be repeated.
     pub(super) fn order_ended(&mut self, now: Time, server: membership::Key, accepted: bool) {
         if accepted {
             self.pending_orders.remove(&server);
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -1,10 +1,10 @@
-//! What follows from what traffic reports of an attempt.
+//! Handling of reports on attempts.
 
 use super::Node;
 use crate::attempt::{self, Next, Outcome, Phase, Report, next};
 use crate::prelude::*;
 
-/// Time within which a stream that broke must go on.
+/// Time within which a broken stream must continue.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
@@ -51,7 +51,7 @@
         {
             self.counts.prompt_tokens += u64::from(tokens);
             self.counts.cached_tokens += u64::from(cached.min(tokens));
-            // The prompt has been computed: now the server holds all of it.
+            // The server has computed the prompt and holds all of its blocks.
             for block in blocks {
                 self.residency.insert(server, block);
             }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Corrects what is believed of the server that failed an attempt.
+    /// Updates the state of an attempt's server from the outcome.
     fn record_outcome(&mut self, now: Time, request: attempt::Key, outcome: &Outcome) {
         let Some(state) = self.requests.get(&request) else {
             return;
@@ -142,7 +142,7 @@
         let receipt = match outcome {
             Outcome::Complete(receipt) => receipt,
             _ => {
-                // The caller left: a call of a service may have run all the same.
+                // The caller disconnected, but a call of a service may have run.
                 if let Some(state) = self.requests.get_mut(&request) {
                     state.maybe_ran = true;
                 }
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other: digests, and folded state for those that start or are behind.
+//! Messages between daemons: digests, and snapshots for daemons that start or are behind.
 
 use std::net::SocketAddr;
 
@@ -9,11 +9,11 @@
 use crate::peer::{Busy, Copy, Digest, Frame, Snapshot};
 use crate::prelude::*;
 
-/// First levels that a digest names.
+/// Maximum number of first levels in a digest.
 const MAX_DIGEST_LEVELS: usize = 32;
-/// Copies that a digest names.
+/// Maximum number of copies in a digest.
 const MAX_DIGEST_COPIES: usize = 64;
-/// Time between two asks for a snapshot.
+/// Minimum time between two requests for a snapshot.
 const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The first levels that were sent somewhere within the lifetime of a digest.
+    /// First levels that this daemon sent to a server within the lifetime of a digest.
     fn recent_copies(&self, now: Time) -> Vec<Copy> {
         self.copies
             .iter()
@@ -90,8 +90,8 @@
             .collect()
     }
 
-    /// Whether the log has not yet told this daemon what is in force or claimed, or a peer has a
-    /// newer manifest. A peer may know less of claims than this daemon: it counts how far it has read.
+    /// Whether this daemon lacks the manifest in force or claims, or a live peer has a newer manifest.
+    /// For claims only peers that have read more of the log are of use.
     fn is_behind(&self, now: Time) -> bool {
         let newest = self.live_peers(now).map(|digest| digest.generation).max();
         let manifest = self.manifest_in_force().is_none() || newest > Some(self.generation());
@@ -105,8 +105,8 @@
         reading.tail_at_start.is_some_and(|tail| self.ledger.next() >= tail)
     }
 
-    /// Asks the peer with the newest manifest, and of those the one that knows most claims; before any
-    /// digest has come, every peer.
+    /// Requests a snapshot from the live peer with the newest manifest that has read the most claims,
+    /// or from every peer before the first digest has come.
     fn request_snapshot(&mut self, now: Time) {
         let newest = self
             .live_peers(now)
@@ -137,7 +137,7 @@
             let notices = self.membership.leaves(id).into_iter().collect();
             self.apply_notices(now, notices);
         }
-        // Told again, and by others, it is no news: all of them would have it asked for at every tick.
+        // Only the first digest with a new generation counts, or repeats would cause a request at every tick.
         let heard = self.live_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
         if digest.generation > self.generation().max(heard) {
             self.next_snapshot_request = now;
@@ -155,7 +155,7 @@
         self.effects.push(Effect::Send(address, Frame::Snapshot(snapshot)));
     }
 
-    /// This daemon's folded state.
+    /// A snapshot of this daemon's folded state.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let slots: Vec<(&ledger::Key, &ledger::Slot)> = self.ledger.iter().collect();
         let force = self.manifest_in_force();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes over what is ahead of this daemon in a peer's folded state.
+    /// Merges the parts of a peer's snapshot that are ahead of this daemon's state.
     fn merge_snapshot(&mut self, now: Time, snapshot: Snapshot) {
         let mut taken = Vec::new();
         self.merge_blocks(now, &snapshot.blocked);
--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -1,4 +1,4 @@
-//! What follows from the platform's log and VM list, and from engines' reports.
+//! Handling of log reads, VM lists and engine reports.
 
 use super::message::{AppendResult, Read, Record, Stream};
 use super::node::Poll;
@@ -8,20 +8,20 @@
 use crate::membership::{self, Change, Notice, Role, Vm};
 use crate::prelude::*;
 
-/// A checkpoint is due when this part of the retention has passed since the last.
+/// A checkpoint is due when the retention divided by this has passed since the last.
 const CHECKPOINT_RETENTION_DIVISOR: u64 = 4;
-/// Shortest time between two checkpoints.
+/// Minimum time between two checkpoints.
 const MIN_CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which a checkpoint that was sent and is not read back is sent again.
+/// Time after which a checkpoint that was sent but not read back is sent again.
 const CHECKPOINT_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How old the record on the log is from which what is in force can be read, and when it was last sent again.
+/// Age of the record on the log that holds the manifest in force, and state of its rewriting.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Checkpointing {
-    /// When the log took the last checkpoint, or the first publication, in milliseconds of its clock.
+    /// Log time at which the last checkpoint or the first publication was written, in milliseconds.
     checkpoint_ms: Option<u64>,
-    /// How far the log's clock is at least ahead of this daemon's, in milliseconds.
+    /// Lower bound of the log clock's offset from this daemon's clock, in milliseconds.
     min_clock_offset_ms: u64,
     sent_at: Option<Time>,
     in_progress: bool,
@@ -32,19 +32,19 @@
         self.in_progress = false;
     }
 
-    /// Notes that a record was read now which the log took at `time_ms`.
+    /// Updates the clock offset from a record that was read at `now` and written at log time `time_ms`.
     fn record_log_time(&mut self, now: Time, time_ms: u64) {
         self.min_clock_offset_ms =
             self.min_clock_offset_ms.max(time_ms.saturating_sub(now.as_millis() as u64));
     }
 
-    /// What the log's clock shows at least, in milliseconds.
+    /// Lower bound of the log's clock, in milliseconds.
     pub(super) fn min_log_time_ms(&self, now: Time) -> u64 {
         (now.as_millis() as u64).saturating_add(self.min_clock_offset_ms)
     }
 
-    /// Whether it is time, with `part` of the retention between two. The age is the log's: daemons may live
-    /// for less than that, and read what is old at their start. One that is not known counts as too old.
+    /// Whether a checkpoint is due, with `part` of the retention between two. Age is measured by the log's
+    /// clock, since daemons may run for less than `part`. A checkpoint of unknown age counts as too old.
     fn is_due(&self, now: Time, part: Duration) -> bool {
         let log_ms = self.min_log_time_ms(now);
         let part_ms = part.max(MIN_CHECKPOINT_INTERVAL).as_millis() as u64;
@@ -79,7 +79,7 @@
         }
         for record in &read.records {
             self.checkpoint.record_log_time(now, record.time_ms);
-            // A gap in what was read is never folded over: the next read closes it.
+            // Records after a gap are not folded. The next read starts at the gap.
             if record.offset > self.next_offset(stream) {
                 break;
             }
@@ -109,14 +109,15 @@
         let offset = record.offset;
         let before = self.manifest.generation();
         match self.manifest.fold(offset, &record.text) {
-            // One that follows the generation before it can't be read without that.
+            // A manifest that replaces an earlier generation can't be read without that one.
             Verdict::Accepted(force) if before > 0 && force.generation == before + 1 => {}
             Verdict::Accepted(_) | Verdict::Confirmed => {
                 self.checkpoint.checkpoint_ms = Some(record.time_ms);
             }
             Verdict::Known => {}
             Verdict::Stale => {
-                let detail = Detail::of("offset", offset).and("reason", "it lost a race");
+                let detail = Detail::of("offset", offset)
+                    .and("reason", "replaces a generation that is not in force");
                 self.event(Event::ManifestRefused, detail);
             }
             Verdict::Invalid(faults) => {
@@ -139,7 +140,7 @@
         self.event(Event::RecordUnreadable, detail);
     }
 
-    /// Makes traffic use the manifest that is now in force, if it is another.
+    /// Makes traffic use the manifest in force, if its generation is new.
     pub(super) fn apply_manifest(&mut self, now: Time) {
         let Some(force) =
             self.manifest_in_force().filter(|f| f.generation > self.applied_generation).cloned()
@@ -184,9 +185,9 @@
         }
     }
 
-    /// Appends the manifest in force again before the log forgets it. The daemon whose id comes
-    /// first among the live ones does so; two that both believe to be first do no harm, since a
-    /// checkpoint of a generation in force changes nothing.
+    /// Appends the manifest in force again before the log drops it. The live daemon with the lowest
+    /// id does so. Two daemons that both take this role do no harm, since a checkpoint of the
+    /// generation in force changes nothing.
     pub(super) fn schedule_checkpoint(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
         let Some(force) = self.manifest_in_force() else {
@@ -194,7 +195,7 @@
         };
         let part = Duration::from_secs(reading.retention_s) / CHECKPOINT_RETENTION_DIVISOR as u32;
         let due = self.checkpoint.is_due(now, part) && !self.checkpoint.in_progress;
-        // Until peers have had the time to be heard, every daemon is the first.
+        // Before the peers' digests have come, every daemon would be the first.
         let unheard = now < self.policy.digest_lifetime.min(part);
         if !reading.up || !due || unheard || !self.is_first_live_daemon(now) {
             return;
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Asks an engine at once, where no poll of it is under way.
+    /// Polls an engine at once, unless a poll of it is under way.
     pub(super) fn poll_now(&mut self, now: Time, key: membership::Key) {
         if let Some(poll @ Poll::Due(_)) = self.polls.get_mut(&key) {
             *poll = Poll::Due(now);
@@ -280,7 +281,7 @@
         self.schedule_polls(now);
     }
 
-    /// Asks the engines of `pool` at once that have not been asked since the manifest is in force.
+    /// Polls the engines of `pool` that have not been polled since the manifest came into force.
     pub(super) fn poll_awaited_engines(&mut self, now: Time, pool: &str) {
         for (key, server) in self.membership.pool(pool) {
             if let Some(poll @ Poll::Due(_)) = self.polls.get_mut(&key)
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Ends the attempts at a server that will not answer them, where they may be repeated.
+    /// Aborts the idempotent attempts at a server that will not answer them.
     fn abort_attempts(&mut self, key: membership::Key) {
         let aborted: Vec<(attempt::Key, u32)> = self
             .requests
@@ -351,7 +352,7 @@
         }
     }
 
-    /// Polls every engine that is due; one poll of an engine is under way at a time.
+    /// Polls every engine that is due. An engine has at most one poll under way.
     pub(super) fn schedule_polls(&mut self, now: Time) {
         for (key, poll) in &mut self.polls {
             if !matches!(poll, Poll::Due(due) if *due <= now) {
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end servers: ends are told to all daemons, and what is blocked for it is kept on the log.
+//! Requests that crash servers: interruptions are sent to all daemons, and blocks are stored on the log.
 
 use std::net::SocketAddr;
 
@@ -14,36 +14,36 @@
 };
 use crate::prelude::*;
 
-/// Time from a write of a block to the log to the next, where it is not seen there.
+/// Time after which a block that was written and not read back is written again.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Blocks are written again when this part of the retention has passed.
+/// Blocks are renewed when the retention divided by this has passed since they were written.
 const RENEWAL_RETENTION_DIVISOR: u32 = 4;
-/// Time after which blocks that were written again, and are not read back, are sent once more.
+/// Time after which blocks that were renewed but not read back are sent again.
 const RENEWAL_RETRY_INTERVAL: Duration = Duration::from_secs(60);
-/// Shortest time between two looks at what is to be written again, or is too old.
+/// Minimum time between two passes over the blocks to renew or expire them.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How far the stream of blocked requests is read, and when it is written again.
+/// Read position of the stream of blocked requests, and state of the blocks stored on it.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Blocks {
     next: u64,
     stored: BTreeMap<Fingerprint, Stored>,
-    /// When blocks were last written again.
+    /// Time of the last renewal.
     renewed_at: Option<Time>,
     next_maintenance: Time,
 }
 
-/// What the log says of a blocked request, in milliseconds of its clock.
+/// Log times of a stored block, in milliseconds of the log's clock.
 #[derive(Debug, Clone, Copy)]
 struct Stored {
     /// When the request was blocked.
     since_ms: u64,
-    /// When the log took the newest record of it.
+    /// When its newest record was written.
     written_ms: u64,
 }
 
 impl Stored {
-    /// Takes over another record; whether the request was blocked anew by then, after the former block had lapsed.
+    /// Merges another record. Returns whether the request was blocked again after the former block had lapsed.
     fn merge(&mut self, other: Self) -> bool {
         let is_anew = log_elapsed(other.since_ms, self.since_ms) >= BLOCK_DURATION;
         let first_ms = other.since_ms.min(self.since_ms);
@@ -64,13 +64,14 @@
 }
 
 impl Node {
-    /// A server's present life, as all daemons name it.
+    /// The present incarnation of a server, as all daemons name it.
     pub(super) fn incarnation(&self, server: membership::Key) -> Option<Incarnation> {
         let server = self.membership.get(server)?;
         Some(Incarnation::of(&server.vm.id, server.incarnation.as_deref()))
     }
 
-    /// Takes over that a connection broke on which a request ran. A server that leaves ends by plan.
+    /// Records that a connection broke while a request ran on it. A leaving server is skipped, since it ends
+    /// by a planned stop.
     pub(super) fn record_disconnect(
         &mut self,
         now: Time,
@@ -101,13 +102,13 @@
         self.apply_steps(now, steps);
     }
 
-    /// Takes over what a look at a server's port found.
+    /// Handles the result of a probe.
     pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
         let steps = self.detector.record_probe(now, victim, answer);
         self.apply_steps(now, steps);
     }
 
-    /// Takes over that a life of a server has ended.
+    /// Records the crash of an incarnation of a server.
     pub(super) fn record_crash(&mut self, now: Time, victim: Option<Incarnation>) {
         if let Some(victim) = victim {
             let steps = self.detector.record_crash(now, victim);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes over that a server answered.
+    /// Records that a server answered.
     pub(super) fn record_response(&mut self, now: Time, server: membership::Key) {
         if let Some(victim) = self.incarnation(server).filter(|_| !self.detector.is_idle()) {
             self.detector.record_response(now, victim);
@@ -146,7 +147,7 @@
             .extend(frames.map(|address| Effect::Send(address, Frame::Poison(message.clone()))));
     }
 
-    /// Takes over a peer's word.
+    /// Handles a message from a peer.
     pub(super) fn handle_poison_message(&mut self, now: Time, message: Message) {
         match message {
             Message::Interruptions(strikes) => self.record_interruptions(now, strikes),
@@ -167,7 +168,7 @@
         );
     }
 
-    /// Tells all peers what is blocked from now on, and refuses it.
+    /// Sends new blocks to all peers and enforces them here.
     fn block_and_announce(&mut self, now: Time, blocked: Vec<Fingerprint>) {
         if blocked.is_empty() {
             return;
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Takes over what peers say is blocked.
+    /// Merges blocks sent by a peer.
     pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
         for told in blocked {
             if self.poison.merge_block(now, *told) {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Ends the requests that have just been blocked, but for those whose answer has begun.
+    /// Ends open requests with a newly blocked fingerprint, except those whose answer has begun.
     fn enforce_block(&mut self, now: Time, fingerprint: Fingerprint) {
         let detail = self.poison.detail(now, fingerprint);
         self.event(Event::RequestBlocked, detail);
@@ -202,7 +203,7 @@
                 Phase::Sent { begun: false, .. } => {
                     self.command(request, Command::Abort(attempt));
                 }
-                // A claim is looked at once it is settled.
+                // A request that is being claimed is checked when it is admitted.
                 Phase::Claiming | Phase::Sent { .. } => {}
             }
         }
@@ -213,7 +214,8 @@
         self.release_and_refuse(now, request, Code::RequestBlocked.into());
     }
 
-    /// Whether a request whose attempt has just broken may be what ends servers, with what is not yet sure.
+    /// Whether a request whose attempt has just broken reaches the block threshold when unconfirmed crashes
+    /// count too.
     pub(super) fn may_crash_servers(&self, now: Time, request: attempt::Key) -> bool {
         let Some(fingerprint) = self.fingerprint(request) else { return false };
         self.poison
@@ -224,7 +226,7 @@
         Some(self.requests.get(&request)?.arrival.fingerprint)
     }
 
-    /// Takes over that a request was answered.
+    /// Clears the suspicion of a request that was answered, here and at all peers.
     pub(super) fn clear_suspect(&mut self, now: Time, request: attempt::Key) {
         let Some(fingerprint) = self.fingerprint(request) else { return };
         if let Some(blocked) = self.poison.clear_suspect(now, fingerprint) {
@@ -233,7 +235,7 @@
         }
     }
 
-    /// What runs, and where.
+    /// Fingerprints and servers of the requests that run.
     pub(super) fn running_requests(&self) -> impl Iterator<Item = (Fingerprint, membership::Key)> {
         self.requests.values().filter_map(|request| match request.phase {
             Phase::Sent { server, .. } => Some((request.arrival.fingerprint, server)),
@@ -241,7 +243,7 @@
         })
     }
 
-    /// Takes over a record of the stream of blocked requests.
+    /// Folds a record of the stream of blocked requests. Returns `None` if it can't be read.
     pub(super) fn fold_blocked(&mut self, now: Time, record: &message::Record) -> Option<()> {
         if record.offset < self.blocks.next {
             return Some(());
@@ -252,7 +254,7 @@
             let since_ms = record.time_ms.saturating_sub(age.as_millis() as u64);
             let told = Stored { since_ms, written_ms: record.time_ms };
             let kept = self.blocks.stored.entry(fingerprint).or_insert(told);
-            // Else the former block's age would end it.
+            // Otherwise the former block's age would end the new block.
             if kept.merge(told) {
                 self.poison.remove_block(fingerprint);
             }
@@ -270,8 +272,8 @@
         Some(())
     }
 
-    /// Looks at servers in doubt, has blocks written, and forgets what is too old. The first live daemon
-    /// writes, and again before the log forgets; two that both believe to be first do no harm.
+    /// Probes servers that may have crashed, writes blocks and expires old ones. The first live daemon writes
+    /// and renews blocks before the log drops them. Two daemons that both take this role do no harm.
     pub(super) fn maintain_poison(&mut self, now: Time) {
         for Probe { incarnation: victim, address } in self.detector.due_probes(now) {
             self.effects.push(Effect::Probe(victim, address));
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Writes blocks again before the log forgets them. How old their records are is told by the log: daemons may live
-    /// for less than that takes.
+    /// Writes blocks again before the log drops them. Their age is measured by the log's clock, since daemons may
+    /// run for less than the renewal interval.
     fn renew_blocks(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Blocked).copied().unwrap_or_default();
         let renewal = Duration::from_secs(reading.retention_s) / RENEWAL_RETENTION_DIVISOR;
@@ -316,8 +318,8 @@
         }
     }
 
-    /// Counts the age of blocks by the log's clock: a daemon that starts again reads what is old, and how old that is
-    /// shows by what it reads later.
+    /// Updates the age of blocks by the log's clock. A restarted daemon reads old records, whose age it learns
+    /// from later ones.
     fn update_block_ages(&mut self, now: Time) {
         self.blocks.stored.retain(|fingerprint, _| self.poison.is_blocked(*fingerprint));
         let log_ms = self.checkpoint.min_log_time_ms(now);
@@ -335,7 +337,7 @@
     }
 }
 
-/// The time from one moment of the log's clock to a later one, both in milliseconds.
+/// Time between two readings of the log's clock in milliseconds, the later one first.
 fn log_elapsed(log_ms: u64, since_ms: u64) -> Duration {
     Duration::from_millis(log_ms.saturating_sub(since_ms))
 }
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What operators may look at; nothing here changes a node.
+//! State shown to operators. Reading it changes nothing in a node.
 
 use serde::Serialize;
 
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 use crate::telemetry::metrics::Figure;
 
-/// One server, for operators.
+/// State of one server, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServerStatus {
     /// Its id.
@@ -17,7 +17,7 @@
     pub pool: String,
     /// Its availability zone.
     pub zone: String,
-    /// Whether new work may go there.
+    /// Whether it can take new requests.
     pub usable: bool,
     /// Whether it is leaving.
     pub leaving: bool,
@@ -25,15 +25,15 @@
     pub reachable: bool,
     /// Its incarnation, if known.
     pub incarnation: Option<String>,
-    /// Weights versions that it serves, by model.
+    /// Versions of weights that it serves, by model.
     pub weights: BTreeMap<String, BTreeSet<String>>,
-    /// Requests of this daemon in flight there.
+    /// Requests in flight there that this daemon sent.
     pub in_flight: u32,
-    /// Prompt tokens that it has still to compute, as last reported.
+    /// Prompt tokens that it has not computed yet, as last reported.
     pub queued_tokens: u64,
 }
 
-/// One daemon's state, for operators.
+/// State of one daemon, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Status {
     /// The daemon's id.
@@ -42,33 +42,33 @@
     pub incarnation: u64,
     /// Its availability zone.
     pub zone: String,
-    /// Whether callers may be sent to it.
+    /// Whether the load balancer may send callers to it.
     pub ready: bool,
-    /// Whether it is stopping.
+    /// Whether a planned stop is under way.
     pub draining: bool,
-    /// The manifest's generation; 0 for none.
+    /// Generation of the manifest in force; 0 for none.
     pub generation: u64,
-    /// The id of the record that brought it into force.
+    /// Id of the record that put the manifest in force.
     pub published: Option<String>,
-    /// The daemon that holds the lease to order engines, as last read.
+    /// Daemon that holds the lease for engine orders, as last read.
     pub lease_holder: Option<String>,
     /// Whether the log answers.
     pub log_up: bool,
     /// Whether the VM list answers.
     pub vm_list_up: bool,
-    /// Whether every claim up to the tail found at the start is known.
+    /// Whether all claims up to the tail found at the start have been read.
     pub ledger_known: bool,
-    /// Idempotency keys remembered.
+    /// Idempotency keys in the ledger.
     pub ledger_keys: usize,
     /// Entries of the residency table.
     pub residency_entries: usize,
-    /// Peers with a fresh digest.
+    /// Live peers.
     pub peers: Vec<String>,
     /// Backend servers.
     pub servers: Vec<ServerStatus>,
     /// Waiting requests by pool.
     pub waiting: BTreeMap<String, usize>,
-    /// Requests that are refused since servers ended under them.
+    /// Requests blocked because they crash servers.
     #[serde(default)]
     pub requests_blocked: usize,
     /// Open requests.
@@ -83,13 +83,13 @@
 pub struct CandidateStatus {
     /// The server's id.
     pub server: String,
-    /// Its place in the rendezvous order of the first level, from 0.
+    /// Its rank in the rendezvous order of the first level, from 0.
     pub rank: usize,
     /// Prompt tokens believed cached.
     pub cached_tokens: u32,
-    /// How far what is believed of its cache can be trusted, from 0 to 1.
+    /// Confidence in the assumed content of its cache, from 0 to 1.
     pub cache_confidence: f64,
-    /// Predicted milliseconds to the first token.
+    /// Predicted time to the first token, in milliseconds.
     pub predicted_ms: f64,
     /// The cost that placement minimises.
     pub cost: f64,
@@ -98,7 +98,7 @@
 }
 
 impl Status {
-    /// The state for metrics.
+    /// The metrics of this state.
     pub fn figures(&self) -> Vec<Figure> {
         let usable = self.servers.iter().filter(|server| server.usable).count() as u64;
         let waiting: usize = self.waiting.values().sum();
@@ -128,7 +128,7 @@
 }
 
 impl Node {
-    /// The state for operators.
+    /// This daemon's state, for operators.
     pub fn status(&self, now: Time) -> Status {
         let servers = self.membership.iter().map(|(key, server)| ServerStatus {
             id: server.vm.id.clone(),
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Where a request would go now, the best candidate first, without taking it.
+    /// The candidates for a request, the best first, without admitting it.
     pub fn explain(&mut self, now: Time, arrival: Arrival) -> Vec<CandidateStatus> {
         let request = arrival.request;
         self.requests.insert(request, Request::new(arrival, now, Phase::Waiting));
