--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -92,8 +92,8 @@
             let Some(key) = self.membership.find(&copy.server) else { continue };
             let server = self.membership.get(key);
             if server.is_some_and(|s| s.incarnation.as_ref() == Some(&copy.incarnation)) {
-                let held = depth.entry(key).or_insert(0);
-                *held = (*held).max(*end);
+                let blocks = depth.entry(key).or_insert(0);
+                *blocks = (*blocks).max(*end);
             }
         }
         depth
@@ -101,9 +101,14 @@
 
     /// Maximum number of leading blocks at a reachable engine, leaving ones included.
     fn max_reachable_depth(&self, depth: &Depth) -> usize {
-        let answers =
+        let is_reachable =
             |key: &membership::Key| self.membership.get(*key).is_some_and(Server::is_reachable);
-        depth.iter().filter(|(key, _)| answers(key)).map(|(_, held)| *held).max().unwrap_or(0)
+        depth
+            .iter()
+            .filter(|(key, _)| is_reachable(key))
+            .map(|(_, blocks)| *blocks)
+            .max()
+            .unwrap_or(0)
     }
 
     fn candidate(
@@ -156,13 +161,13 @@
     /// Maximum number of servers that hold a copy of `level`, from its work over all daemons.
     fn max_copies(&self, now: Time, level: Option<Key>, servers: usize) -> usize {
         let Some(level) = level else { return servers };
-        let peers: f64 = self
+        let peer_work_ms: f64 = self
             .live_peers(now)
             .flat_map(|digest| &digest.heat)
             .filter(|(key, _)| *key == level)
             .map(|(_, rate)| rate)
             .sum();
-        let work_ms = self.heat.rate(now, level) + peers;
+        let work_ms = self.heat.rate(now, level) + peer_work_ms;
         let copies = (work_ms / COPY_LOAD_MS_PER_S).ceil().max(1.0);
         (copies as usize).min(servers.max(1))
     }
@@ -184,12 +189,13 @@
             self.residency.insert(server, *block);
         }
         let Some(level) = level else { return };
-        let first = blocks.iter().position(|block| *block == level).map_or(0, |end| end + 1);
-        if first > 0 && pending_tokens as usize >= first * BLOCK_TOKENS as usize {
+        let level_blocks = blocks.iter().position(|block| *block == level).map_or(0, |end| end + 1);
+        if level_blocks > 0 && pending_tokens as usize >= level_blocks * BLOCK_TOKENS as usize {
             self.copies.insert((level, server), now);
         }
-        let speed = self.membership.get(server).map_or(1, |s| s.load.prefill_tokens_per_s);
-        let work_ms = f64::from(pending_tokens) * 1_000.0 / f64::from(speed);
+        let prefill_tokens_per_s =
+            self.membership.get(server).map_or(1, |s| s.load.prefill_tokens_per_s);
+        let work_ms = f64::from(pending_tokens) * 1_000.0 / f64::from(prefill_tokens_per_s);
         self.heat.note(now, level, work_ms + ANSWER_TOKEN_MS);
     }
 
@@ -214,9 +220,9 @@
                 self.busy.remove(&server);
             }
         }
-        let held_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-        let pace = self.averages.entry(state.arrival.pool.clone()).or_default();
-        pace.hold_ms += (held_ms - pace.hold_ms) * 0.05;
+        let hold_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
+        let averages = self.averages.entry(state.arrival.pool.clone()).or_default();
+        averages.hold_ms += (hold_ms - averages.hold_ms) * 0.05;
     }
 }
 
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -68,8 +68,8 @@
         if claim.daemon == self.identity.id {
             return self.pending.is_own(claim);
         }
-        let heard = self.live_peers(now).find(|digest| digest.daemon == claim.daemon);
-        match heard {
+        let digest = self.live_peers(now).find(|digest| digest.daemon == claim.daemon);
+        match digest {
             Some(digest) => digest.incarnation == claim.incarnation,
             None => now < self.listening_since + self.policy.digest_lifetime,
         }
@@ -134,14 +134,14 @@
     /// Refuses requests whose claim has timed out or whose deadline has passed while claiming.
     pub(super) fn expire_claims(&mut self, now: Time) {
         let claim_timeout = self.policy.claim_timeout;
-        let stuck: Vec<attempt::Key> = self
+        let expired: Vec<attempt::Key> = self
             .requests
             .iter()
             .filter(|(_, state)| state.phase == Phase::Claiming)
             .filter(|(_, state)| now >= state.arrival.deadline.min(state.since + claim_timeout))
             .map(|(request, _)| *request)
             .collect();
-        for request in stuck {
+        for request in expired {
             self.event(Event::ClaimAbandoned, Detail::none());
             self.refuse(now, request, Code::LogUnavailable);
         }
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -29,15 +29,15 @@
             };
             let waiting: Vec<attempt::Key> =
                 queue.iter().take(MAX_SCANNED_REQUESTS).map(|entry| entry.request).collect();
-            let placed = waiting.into_iter().find_map(|request| {
-                let choice = self.place(now, request)?;
-                Some((request, choice))
+            let chosen = waiting.into_iter().find_map(|request| {
+                let placement = self.place(now, request)?;
+                Some((request, placement))
             });
-            let Some((request, choice)) = placed else { return };
+            let Some((request, placement)) = chosen else { return };
             if let Some(queue) = self.queues.get_mut(pool) {
                 queue.take(request);
             }
-            self.dispatch(now, request, choice);
+            self.dispatch(now, request, placement);
         }
     }
 
@@ -50,8 +50,8 @@
         {
             return Some(Placement { server: *server, pending_tokens: 0, import_blocks: 0 });
         }
-        let left = state.arrival.deadline.saturating_sub(state.since);
-        let free_only = now >= state.since + left / HOLD_DEADLINE_DIVISOR;
+        let time_left = state.arrival.deadline.saturating_sub(state.since);
+        let free_only = now >= state.since + time_left / HOLD_DEADLINE_DIVISOR;
         let scored = self.score_candidates(now, request, free_only);
         let best = scored.first().filter(|scored| scored.free)?;
         Some(Placement {
@@ -85,7 +85,7 @@
         let depth = self.cached_depth(now, &state.arrival.prefix);
         let holders = depth
             .iter()
-            .filter(|(key, held)| **held >= blocks && **key != server)
+            .filter(|(key, depth)| **depth >= blocks && **key != server)
             .filter_map(|(key, _)| Some((*key, self.membership.get(*key)?)))
             .filter(|(_, holder)| holder.is_reachable());
         let (_, holder) = holders.min_by_key(|(key, holder)| {
@@ -96,8 +96,8 @@
         Some(Import { address: holder.vm.address, incarnation, blocks })
     }
 
-    fn dispatch(&mut self, now: Time, request: attempt::Key, choice: Placement) {
-        let Placement { server, pending_tokens, import_blocks } = choice;
+    fn dispatch(&mut self, now: Time, request: attempt::Key, placement: Placement) {
+        let Placement { server, pending_tokens, import_blocks } = placement;
         let Some(state) = self.requests.get(&request) else { return };
         let import = self.choose_import(now, state, server, import_blocks);
         let resume = self.can_resume_stream(now, state);
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -50,9 +50,10 @@
     /// and in force at all live peers, and the unload delay has passed.
     fn may_unload(&self, now: Time, generation: u64) -> bool {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
-        let newest = reading.up && self.manifest.next() >= reading.tail;
-        let everywhere = self.live_peers(now).all(|digest| digest.generation >= generation);
-        newest && everywhere && now >= self.in_force_since + UNLOAD_DELAY
+        let is_newest = reading.up && self.manifest.next() >= reading.tail;
+        let in_force_everywhere =
+            self.live_peers(now).all(|digest| digest.generation >= generation);
+        is_newest && in_force_everywhere && now >= self.in_force_since + UNLOAD_DELAY
     }
 
     /// Handles the end of an order. A refused order is sent again later. After an accepted one, the engine is
@@ -71,10 +72,10 @@
     }
 
     pub(super) fn fold_lease(&mut self, now: Time, offset: u64, text: &str) -> Option<()> {
-        let before = self.lease.held().map(|held| held.fence);
+        let former_fence = self.lease.held().map(|held| held.fence);
         self.lease.fold(now, offset, text)?;
         if let Some(held) = self.lease.held()
-            && before != Some(held.fence)
+            && former_fence != Some(held.fence)
         {
             let detail = Detail::of("holder", held.daemon.as_str()).and("fence", held.fence);
             self.event(Event::LeaseTaken, detail);
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -15,10 +15,10 @@
         attempt: u32,
         report: Report,
     ) {
-        let current = self.requests.get(&request).is_some_and(|state| {
+        let is_current = self.requests.get(&request).is_some_and(|state| {
             state.attempts == attempt && matches!(state.phase, Phase::Sent { .. })
         });
-        if !current {
+        if !is_current {
             return;
         }
         match report {
@@ -31,7 +31,7 @@
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
-        let first = !state.begun;
+        let is_first_begin = !state.begun;
         state.begun = true;
         state.maybe_ran = true;
         let Phase::Sent { server, pending_tokens, begun, .. } = &mut state.phase else {
@@ -47,7 +47,7 @@
         self.membership.trust(server);
         self.record_response(now, server);
         if let Some(cached) = cached_tokens
-            && first
+            && is_first_begin
         {
             self.counts.prompt_tokens += u64::from(tokens);
             self.counts.cached_tokens += u64::from(cached.min(tokens));
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -94,10 +94,10 @@
     /// For claims only peers that have read more of the log are of use.
     fn is_behind(&self, now: Time) -> bool {
         let newest = self.live_peers(now).map(|digest| digest.generation).max();
-        let manifest = self.manifest_in_force().is_none() || newest > Some(self.generation());
-        let ahead = self.live_peers(now).map(|digest| digest.ledger_next).max();
-        let claims = ahead.is_none_or(|ahead| ahead > self.ledger.next());
-        manifest || (claims && !self.is_ledger_known())
+        let needs_manifest = self.manifest_in_force().is_none() || newest > Some(self.generation());
+        let max_ledger_next = self.live_peers(now).map(|digest| digest.ledger_next).max();
+        let needs_claims = max_ledger_next.is_none_or(|next| next > self.ledger.next());
+        needs_manifest || (needs_claims && !self.is_ledger_known())
     }
 
     pub(super) fn is_ledger_known(&self) -> bool {
@@ -114,8 +114,8 @@
             .map(|digest| digest.daemon.clone());
         for (id, address) in self.peer_addresses() {
             if newest.as_ref().is_none_or(|newest| *newest == id) {
-                let ask = Frame::Ask(self.identity.id.clone());
-                self.effects.push(Effect::Send(address, ask));
+                let frame = Frame::Ask(self.identity.id.clone());
+                self.effects.push(Effect::Send(address, frame));
             }
         }
     }
@@ -138,8 +138,9 @@
             self.apply_notices(now, notices);
         }
         // Only the first digest with a new generation counts, or repeats would cause a request at every tick.
-        let heard = self.live_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
-        if digest.generation > self.generation().max(heard) {
+        let max_peer_generation =
+            self.live_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
+        if digest.generation > self.generation().max(max_peer_generation) {
             self.next_snapshot_request = now;
         }
         self.merge_blocks(now, &digest.blocked);
@@ -174,14 +175,14 @@
 
     /// Merges the parts of a peer's snapshot that are ahead of this daemon's state.
     fn merge_snapshot(&mut self, now: Time, snapshot: Snapshot) {
-        let mut taken = Vec::new();
+        let mut merged = Vec::new();
         self.merge_blocks(now, &snapshot.blocked);
         if let Ok(manifest) = manifest::parse(snapshot.manifest.as_bytes()) {
             let force = manifest::Force::new(snapshot.generation, snapshot.published, manifest);
             let force = Arc::new(force);
             self.has_peer_manifest |= snapshot.generation >= self.manifest.generation();
             if self.manifest.merge(snapshot.manifest_next, Some(force)) {
-                taken.push("manifest");
+                merged.push("manifest");
             }
             self.apply_manifest(now);
         }
@@ -194,10 +195,10 @@
             self.ledger =
                 ledger::State::rebuild(snapshot.ledger_next, snapshot.ledger_time_ms, slots);
             self.resolve_claims(now);
-            taken.push("ledger");
+            merged.push("ledger");
         }
-        if !taken.is_empty() {
-            self.event(Event::SnapshotTaken, Detail::of("state", taken.join(" and ")));
+        if !merged.is_empty() {
+            self.event(Event::SnapshotTaken, Detail::of("state", merged.join(" and ")));
         }
     }
 }
--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -43,14 +43,15 @@
         (now.as_millis() as u64).saturating_add(self.min_clock_offset_ms)
     }
 
-    /// Whether a checkpoint is due, with `part` of the retention between two. Age is measured by the log's
-    /// clock, since daemons may run for less than `part`. A checkpoint of unknown age counts as too old.
-    fn is_due(&self, now: Time, part: Duration) -> bool {
-        let log_ms = self.min_log_time_ms(now);
-        let part_ms = part.max(MIN_CHECKPOINT_INTERVAL).as_millis() as u64;
-        let pause = part.clamp(MIN_CHECKPOINT_INTERVAL, CHECKPOINT_RETRY_INTERVAL);
-        self.checkpoint_ms.is_none_or(|base| log_ms >= base.saturating_add(part_ms))
-            && self.sent_at.is_none_or(|sent| now >= sent + pause)
+    /// Whether a checkpoint is due, given the interval between two. Age is measured by the log's
+    /// clock, since daemons may run for less than that. A checkpoint of unknown age counts as too old.
+    fn is_due(&self, now: Time, interval: Duration) -> bool {
+        let log_time_ms = self.min_log_time_ms(now);
+        let interval_ms = interval.max(MIN_CHECKPOINT_INTERVAL).as_millis() as u64;
+        let retry_interval = interval.clamp(MIN_CHECKPOINT_INTERVAL, CHECKPOINT_RETRY_INTERVAL);
+        self.checkpoint_ms
+            .is_none_or(|written_ms| log_time_ms >= written_ms.saturating_add(interval_ms))
+            && self.sent_at.is_none_or(|sent| now >= sent + retry_interval)
     }
 }
 
@@ -193,11 +194,12 @@
         let Some(force) = self.manifest_in_force() else {
             return;
         };
-        let part = Duration::from_secs(reading.retention_s) / CHECKPOINT_RETENTION_DIVISOR as u32;
-        let due = self.checkpoint.is_due(now, part) && !self.checkpoint.in_progress;
+        let interval =
+            Duration::from_secs(reading.retention_s) / CHECKPOINT_RETENTION_DIVISOR as u32;
+        let is_due = self.checkpoint.is_due(now, interval) && !self.checkpoint.in_progress;
         // Before the peers' digests have come, every daemon would be the first.
-        let unheard = now < self.policy.digest_lifetime.min(part);
-        if !reading.up || !due || unheard || !self.is_first_live_daemon(now) {
+        let is_starting = now < self.policy.digest_lifetime.min(interval);
+        if !reading.up || !is_due || is_starting || !self.is_first_live_daemon(now) {
             return;
         }
         let record = manifest::Record {
@@ -262,10 +264,10 @@
             return;
         }
         let next = Poll::Due(now + self.policy.poll_interval);
-        let Some(Poll::Sent(at)) = self.polls.insert(key, next) else { return };
-        self.membership.asked(key, at);
+        let Some(Poll::Sent(sent_at)) = self.polls.insert(key, next) else { return };
+        self.membership.asked(key, sent_at);
         match self.unreported_orders.get(&key) {
-            Some(obeyed) if at < *obeyed => self.poll_now(now, key),
+            Some(executed_at) if sent_at < *executed_at => self.poll_now(now, key),
             Some(_) => {
                 self.unreported_orders.remove(&key);
             }
@@ -331,22 +333,22 @@
 
     /// Aborts the idempotent attempts at a server that will not answer them.
     fn abort_attempts(&mut self, key: membership::Key) {
-        let aborted: Vec<(attempt::Key, u32)> = self
+        let attempts: Vec<(attempt::Key, u32)> = self
             .requests
             .iter()
             .filter(|(_, state)| state.arrival.idempotent)
             .filter(|(_, state)| matches!(state.phase, Phase::Sent { server, .. } if server == key))
             .map(|(request, state)| (*request, state.attempts))
             .collect();
-        for (request, attempt) in aborted {
+        for (request, attempt) in attempts {
             self.command(request, Command::Abort(attempt));
         }
     }
 
     fn server_added(&mut self, now: Time, key: membership::Key) {
-        let engine =
+        let is_engine =
             self.membership.get(key).is_some_and(|server| server.vm.role == Role::ModelServer);
-        if engine {
+        if is_engine {
             self.polls.insert(key, Poll::Due(now));
             self.schedule_polls(now);
         }
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -45,11 +45,11 @@
 impl Stored {
     /// Merges another record. Returns whether the request was blocked again after the former block had lapsed.
     fn merge(&mut self, other: Self) -> bool {
-        let is_anew = log_elapsed(other.since_ms, self.since_ms) >= BLOCK_DURATION;
-        let first_ms = other.since_ms.min(self.since_ms);
-        self.since_ms = if is_anew { other.since_ms } else { first_ms };
+        let is_new_block = log_elapsed(other.since_ms, self.since_ms) >= BLOCK_DURATION;
+        let earliest_ms = other.since_ms.min(self.since_ms);
+        self.since_ms = if is_new_block { other.since_ms } else { earliest_ms };
         self.written_ms = other.written_ms.max(self.written_ms);
-        is_anew
+        is_new_block
     }
 }
 
@@ -77,10 +77,11 @@
         now: Time,
         request: attempt::Key,
         server: membership::Key,
-        ran: Duration,
+        run_time: Duration,
     ) {
         let Some(fingerprint) = self.fingerprint(request) else { return };
-        let (Some(state), Some(victim)) = (self.membership.get(server), self.incarnation(server))
+        let (Some(state), Some(incarnation)) =
+            (self.membership.get(server), self.incarnation(server))
         else {
             return;
         };
@@ -88,52 +89,51 @@
             return;
         }
         let pool = state.vm.pool.as_str();
-        let suspect = Endpoint {
-            incarnation: victim,
+        let endpoint = Endpoint {
+            incarnation,
             address: state.vm.address,
             pool: xxh3_64(pool.as_bytes()),
             servers: self.membership.pool(pool).count() as u32,
         };
-        let steps = self.detector.record_disconnect(
-            now,
-            suspect,
-            Disconnect { fingerprint, run_time: ran },
-        );
+        let steps =
+            self.detector.record_disconnect(now, endpoint, Disconnect { fingerprint, run_time });
         self.apply_steps(now, steps);
     }
 
     /// Handles the result of a probe.
-    pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
-        let steps = self.detector.record_probe(now, victim, answer);
+    pub(super) fn probed(&mut self, now: Time, incarnation: Incarnation, answer: Answer) {
+        let steps = self.detector.record_probe(now, incarnation, answer);
         self.apply_steps(now, steps);
     }
 
     /// Records the crash of an incarnation of a server.
-    pub(super) fn record_crash(&mut self, now: Time, victim: Option<Incarnation>) {
-        if let Some(victim) = victim {
-            let steps = self.detector.record_crash(now, victim);
+    pub(super) fn record_crash(&mut self, now: Time, incarnation: Option<Incarnation>) {
+        if let Some(incarnation) = incarnation {
+            let steps = self.detector.record_crash(now, incarnation);
             self.apply_steps(now, steps);
         }
     }
 
     /// Records that a server answered.
     pub(super) fn record_response(&mut self, now: Time, server: membership::Key) {
-        if let Some(victim) = self.incarnation(server).filter(|_| !self.detector.is_idle()) {
-            self.detector.record_response(now, victim);
+        if let Some(incarnation) = self.incarnation(server).filter(|_| !self.detector.is_idle()) {
+            self.detector.record_response(now, incarnation);
         }
     }
 
     fn apply_steps(&mut self, now: Time, steps: Steps) {
         let probes = steps.probes.into_iter();
         self.effects.extend(
-            probes.map(|Probe { incarnation: victim, address }| Effect::Probe(victim, address)),
+            probes.map(|Probe { incarnation, address }| Effect::Probe(incarnation, address)),
         );
         if steps.interruptions.is_empty() {
             return;
         }
-        let present = steps.interruptions.iter().map(|strike| strike.fingerprint.to_string());
-        let present = present.collect::<Vec<String>>().join(" ");
-        let detail = Detail::of("requests", steps.interruptions.len()).and("fingerprints", present);
+        let fingerprints =
+            steps.interruptions.iter().map(|interruption| interruption.fingerprint.to_string());
+        let fingerprints = fingerprints.collect::<Vec<String>>().join(" ");
+        let detail =
+            Detail::of("requests", steps.interruptions.len()).and("fingerprints", fingerprints);
         self.event(Event::ServerEnded, detail);
         self.send_to_peers(&Message::Interruptions(steps.interruptions.clone()));
         self.record_interruptions(now, steps.interruptions);
@@ -150,7 +150,7 @@
     /// Handles a message from a peer.
     pub(super) fn handle_poison_message(&mut self, now: Time, message: Message) {
         match message {
-            Message::Interruptions(strikes) => self.record_interruptions(now, strikes),
+            Message::Interruptions(interruptions) => self.record_interruptions(now, interruptions),
             Message::Served(fingerprint) => {
                 let blocked = self.poison.clear_suspect(now, fingerprint);
                 self.block_and_announce(now, blocked.unwrap_or_default());
@@ -159,12 +159,13 @@
         }
     }
 
-    fn record_interruptions(&mut self, now: Time, strikes: Vec<Interruption>) {
-        let struck = |strike: &Interruption| self.poison.record_interruption(now, *strike);
-        let blocked: Vec<Interruption> = strikes.into_iter().filter(struck).collect();
+    fn record_interruptions(&mut self, now: Time, interruptions: Vec<Interruption>) {
+        let reaches_block =
+            |interruption: &Interruption| self.poison.record_interruption(now, *interruption);
+        let blocked: Vec<Interruption> = interruptions.into_iter().filter(reaches_block).collect();
         self.block_and_announce(
             now,
-            blocked.into_iter().map(|strike| strike.fingerprint).collect(),
+            blocked.into_iter().map(|interruption| interruption.fingerprint).collect(),
         );
     }
 
@@ -173,9 +174,11 @@
         if blocked.is_empty() {
             return;
         }
-        let new = blocked.iter();
-        let new = new.map(|block| Blocked { fingerprint: *block, age: Duration::ZERO }).collect();
-        self.send_to_peers(&Message::Blocked(new));
+        let blocks = blocked.iter();
+        let blocks = blocks
+            .map(|fingerprint| Blocked { fingerprint: *fingerprint, age: Duration::ZERO })
+            .collect();
+        self.send_to_peers(&Message::Blocked(blocks));
         for fingerprint in blocked {
             self.enforce_block(now, fingerprint);
         }
@@ -183,9 +186,9 @@
 
     /// Merges blocks sent by a peer.
     pub(super) fn merge_blocks(&mut self, now: Time, blocked: &[Blocked]) {
-        for told in blocked {
-            if self.poison.merge_block(now, *told) {
-                self.enforce_block(now, told.fingerprint);
+        for block in blocked {
+            if self.poison.merge_block(now, *block) {
+                self.enforce_block(now, block.fingerprint);
             }
         }
     }
@@ -194,10 +197,11 @@
     fn enforce_block(&mut self, now: Time, fingerprint: Fingerprint) {
         let detail = self.poison.detail(now, fingerprint);
         self.event(Event::RequestBlocked, detail);
-        let same = self.requests.iter().filter(|(_, s)| s.arrival.fingerprint == fingerprint);
-        let same: Vec<(attempt::Key, Phase, u32)> =
-            same.map(|(key, state)| (*key, state.phase, state.attempts)).collect();
-        for (request, phase, attempt) in same {
+        let affected =
+            self.requests.iter().filter(|(_, state)| state.arrival.fingerprint == fingerprint);
+        let affected: Vec<(attempt::Key, Phase, u32)> =
+            affected.map(|(key, state)| (*key, state.phase, state.attempts)).collect();
+        for (request, phase, attempt) in affected {
             match phase {
                 Phase::Waiting => self.refuse_blocked(now, request),
                 Phase::Sent { begun: false, .. } => {
@@ -252,13 +256,13 @@
         let (blocked, lifted) = Record::decode(&record.text)?;
         for Blocked { fingerprint, age } in blocked {
             let since_ms = record.time_ms.saturating_sub(age.as_millis() as u64);
-            let told = Stored { since_ms, written_ms: record.time_ms };
-            let kept = self.blocks.stored.entry(fingerprint).or_insert(told);
+            let record_times = Stored { since_ms, written_ms: record.time_ms };
+            let stored = self.blocks.stored.entry(fingerprint).or_insert(record_times);
             // Otherwise the former block's age would end the new block.
-            if kept.merge(told) {
+            if stored.merge(record_times) {
                 self.poison.remove_block(fingerprint);
             }
-            let age = log_elapsed(self.checkpoint.min_log_time_ms(now), kept.since_ms);
+            let age = log_elapsed(self.checkpoint.min_log_time_ms(now), stored.since_ms);
             if self.poison.add_stored_block(now, Blocked { fingerprint, age }) {
                 self.enforce_block(now, fingerprint);
             }
@@ -275,11 +279,11 @@
     /// Probes servers that may have crashed, writes blocks and expires old ones. The first live daemon writes
     /// and renews blocks before the log drops them. Two daemons that both take this role do no harm.
     pub(super) fn maintain_poison(&mut self, now: Time) {
-        for Probe { incarnation: victim, address } in self.detector.due_probes(now) {
-            self.effects.push(Effect::Probe(victim, address));
+        for Probe { incarnation, address } in self.detector.due_probes(now) {
+            self.effects.push(Effect::Probe(incarnation, address));
         }
-        let first = self.is_first_live_daemon(now);
-        if first {
+        let is_first = self.is_first_live_daemon(now);
+        if is_first {
             let due = self.poison.due_writes(now, WRITE_RETRY_INTERVAL);
             self.append_blocks(&due, &[]);
         }
@@ -289,10 +293,10 @@
         self.blocks.next_maintenance = now + MAINTENANCE_INTERVAL;
         self.update_block_ages(now);
         let lapsed = self.poison.expire(now);
-        if first {
+        if is_first {
             self.append_blocks(&[], &lapsed);
         }
-        if first {
+        if is_first {
             self.renew_blocks(now);
         }
     }
@@ -302,14 +306,14 @@
     fn renew_blocks(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Blocked).copied().unwrap_or_default();
         let renewal = Duration::from_secs(reading.retention_s) / RENEWAL_RETENTION_DIVISOR;
-        let pause = renewal.min(RENEWAL_RETRY_INTERVAL);
-        if !reading.up || self.blocks.renewed_at.is_some_and(|at| now < at + pause) {
+        let retry_interval = renewal.min(RENEWAL_RETRY_INTERVAL);
+        if !reading.up || self.blocks.renewed_at.is_some_and(|at| now < at + retry_interval) {
             return;
         }
-        let log_ms = self.checkpoint.min_log_time_ms(now);
+        let log_time_ms = self.checkpoint.min_log_time_ms(now);
         let is_old = |block: &Blocked| {
-            let kept = self.blocks.stored.get(&block.fingerprint);
-            kept.is_some_and(|kept| log_elapsed(log_ms, kept.written_ms) >= renewal)
+            let stored = self.blocks.stored.get(&block.fingerprint);
+            stored.is_some_and(|stored| log_elapsed(log_time_ms, stored.written_ms) >= renewal)
         };
         let old: Vec<Blocked> = self.poison.blocks(now).filter(is_old).collect();
         if !old.is_empty() {
@@ -322,9 +326,9 @@
     /// from later ones.
     fn update_block_ages(&mut self, now: Time) {
         self.blocks.stored.retain(|fingerprint, _| self.poison.is_blocked(*fingerprint));
-        let log_ms = self.checkpoint.min_log_time_ms(now);
-        for (fingerprint, kept) in &self.blocks.stored {
-            let age = log_elapsed(log_ms, kept.since_ms);
+        let log_time_ms = self.checkpoint.min_log_time_ms(now);
+        for (fingerprint, stored) in &self.blocks.stored {
+            let age = log_elapsed(log_time_ms, stored.since_ms);
             self.poison.merge_block(now, Blocked { fingerprint: *fingerprint, age });
         }
     }
