--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -1,42 +1,42 @@
-//! The lease on the log, and the orders that its holder gives.
+//! The lease on the log and the orders that its holder sends.
 
 use super::{Effect, Node, Stream};
 use crate::membership;
 use crate::order::{Order, Want, plan};
 use crate::prelude::*;
 
-/// Time after which an order that had no effect is given again.
-const ORDER_AGAIN: Duration = Duration::from_secs(30);
-/// Time for which versions stay loaded that the manifest no longer names: streams under them end.
-const UNLOAD_AFTER: Duration = Duration::from_secs(60);
+/// Time after which an order that had no effect is sent again.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(30);
+/// Time before versions that the manifest no longer names are unloaded, in which streams under them end.
+const UNLOAD_DELAY: Duration = Duration::from_secs(60);
 
 impl Node {
     pub(super) fn schedule_lease(&mut self, now: Time) {
         let reading = self.readings.get(&Stream::Lease).copied().unwrap_or_default();
-        if !reading.up || self.draining || self.force().is_none() {
+        if !reading.up || self.draining || self.manifest_in_force().is_none() {
             return;
         }
-        let candidate = self.is_first(now);
+        let candidate = self.is_first_live_daemon(now);
         if let Some(record) = self.lease.due(now, candidate) {
             self.effects.push(Effect::AppendLease(record.encode()));
         }
     }
 
-    /// Gives the orders that are due, while this daemon holds the lease.
+    /// Sends the orders that are due, while this daemon holds the lease.
     pub(super) fn schedule_orders(&mut self, now: Time) {
-        self.ordered.retain(|_, at| now < *at + ORDER_AGAIN);
+        self.pending_orders.retain(|_, at| now < *at + ORDER_RETRY_INTERVAL);
         let Some(fence) = self.lease.fence(now) else { return };
-        let Some(force) = self.force().cloned() else { return };
+        let Some(force) = self.manifest_in_force().cloned() else { return };
         let want = Want {
             settled: self.lease.is_settled(now),
             unload: self.may_unload(now, force.generation),
         };
-        let busy = self.ordered.keys().chain(self.obeyed.keys());
+        let busy = self.pending_orders.keys().chain(self.unreported_orders.keys());
         let busy: BTreeSet<membership::Key> = busy.copied().collect();
         for due in plan(&force.manifest, &self.membership, &busy, want) {
             let Some(server) = self.membership.get(due.server) else { continue };
             let (id, address) = (server.vm.id.clone(), server.vm.address);
-            self.ordered.insert(due.server, now);
+            self.pending_orders.insert(due.server, now);
             let detail = Detail::of("server", id)
                 .and("action", format!("{:?}", due.action))
                 .and("fence", fence);
@@ -46,23 +46,24 @@
         }
     }
 
-    /// Whether what the manifest in force does not name is needed by none: it is the newest, as far as the log
-    /// can tell now, and every peer that is heard has it too.
+    /// Whether versions that the manifest in force doesn't name can be unloaded: it is the newest on the log
+    /// and in force at all live peers, and the unload delay has passed.
     fn may_unload(&self, now: Time, generation: u64) -> bool {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
-        let newest = reading.up && self.manifest.next() >= reading.tail;
-        let everywhere = self.fresh_peers(now).all(|digest| digest.generation >= generation);
-        newest && everywhere && now >= self.force_since + UNLOAD_AFTER
+        let is_newest = reading.up && self.manifest.next() >= reading.tail;
+        let in_force_everywhere =
+            self.live_peers(now).all(|digest| digest.generation >= generation);
+        is_newest && in_force_everywhere && now >= self.in_force_since + UNLOAD_DELAY
     }
 
-    /// An order ended; one that was refused is given again after a while. What the engine has now is not in
-    /// what it reported before, by which the order would be given again.
+    /// Handles the end of an order. A refused order is sent again later. After an accepted one, the engine is
+    /// polled at once, since its last report would cause the order to be repeated.
     pub(super) fn order_ended(&mut self, now: Time, server: membership::Key, accepted: bool) {
         if accepted {
-            self.ordered.remove(&server);
+            self.pending_orders.remove(&server);
             if self.membership.get(server).is_some() {
-                self.obeyed.insert(server, now);
-                self.ask_again(now, server);
+                self.unreported_orders.insert(server, now);
+                self.poll_now(now, server);
             }
             return;
         }
@@ -71,10 +72,10 @@
     }
 
     pub(super) fn fold_lease(&mut self, now: Time, offset: u64, text: &str) -> Option<()> {
-        let before = self.lease.held().map(|held| held.fence);
+        let former_fence = self.lease.held().map(|held| held.fence);
         self.lease.fold(now, offset, text)?;
         if let Some(held) = self.lease.held()
-            && before != Some(held.fence)
+            && former_fence != Some(held.fence)
         {
             let detail = Detail::of("holder", held.daemon.as_str()).and("fence", held.fence);
             self.event(Event::LeaseTaken, detail);
