--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -18,7 +18,7 @@
 /// Maximum size of the residency table. An entry takes about 100 bytes.
 const MAX_RESIDENCY_ENTRIES: usize = 1_000_000;
 
-/// Minimum gap between messages that counts as a freeze of this daemon. Ticks come about 50 times a second.
+/// Gap between messages above which this daemon was frozen. Ticks come about 50 times a second.
 const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Identity of this daemon.
@@ -126,7 +126,7 @@
     pub(super) membership: membership::State,
     pub(super) residency: Residency,
     pub(super) heat: Heat,
-    /// Time at which this daemon last had a server compute a first level.
+    /// When this daemon last had a server compute a first level.
     pub(super) copies: BTreeMap<(prefix::Key, membership::Key), Time>,
     pub(super) queues: BTreeMap<String, Queue>,
     pub(super) averages: BTreeMap<String, Averages>,
@@ -134,11 +134,11 @@
     pub(super) busy: BTreeMap<membership::Key, peer::Busy>,
     pub(super) budget: Budget,
     pub(super) lease: lease::State,
-    /// Time at which each order that is still being executed was sent.
+    /// When the order that an engine is executing was sent.
     pub(super) pending_orders: BTreeMap<membership::Key, Time>,
-    /// Time at which each engine executed an order whose result no report shows yet.
+    /// When an engine executed an order that no report reflects yet.
     pub(super) unreported_orders: BTreeMap<membership::Key, Time>,
-    /// Time since which the manifest in force has been in force here.
+    /// When the manifest in force was applied here.
     pub(super) in_force_since: Time,
     /// Generation of the manifest last applied here.
     pub(super) applied_generation: u64,
@@ -149,11 +149,11 @@
     pub(super) claims: BTreeMap<attempt::Key, ledger::ClaimId>,
     pub(super) readings: BTreeMap<Stream, Reading>,
     pub(super) peers: BTreeMap<String, Peer>,
-    /// Time since which this daemon has been receiving digests without a gap: its start or the end of a freeze.
+    /// Start of uninterrupted receipt of digests: this daemon's start or the end of a freeze.
     pub(super) listening_since: Time,
     applied_at: Time,
     pub(super) polls: BTreeMap<membership::Key, Poll>,
-    /// Requests whose weights may be at an engine that has not reported since the manifest came into force.
+    /// Requests whose weights may be at an engine not polled since the manifest came into force.
     pub(super) awaiting_reports: BTreeSet<attempt::Key>,
     pub(super) next_digest: Time,
     pub(super) next_snapshot_request: Time,
@@ -286,8 +286,7 @@
         })
     }
 
-    /// Whether the VM list was read and each pool has a known server or no engine whose first report
-    /// is still awaited.
+    /// Whether the VM list was read and each pool has a known server or awaits no first report.
     fn membership_known(&self) -> bool {
         let mut pools: BTreeMap<&str, (bool, bool)> = BTreeMap::new();
         for (_, server) in self.membership.iter() {
@@ -344,8 +343,8 @@
         self.effects.push(Effect::Command(request, Box::new(command)));
     }
 
-    /// Ends a request with an error made by this router. The error never says "not run" where an
-    /// attempt may have run.
+    /// Ends a request with an error made by this router, which never says "not run" where an attempt
+    /// may have run.
     pub(super) fn refuse(
         &mut self,
         now: Time,
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Updates the state of an attempt's server from the outcome.
+    /// Updates the state of the request and of its server after an attempt.
     fn record_outcome(&mut self, now: Time, request: attempt::Key, outcome: &Outcome) {
         let Some(state) = self.requests.get(&request) else {
             return;
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -70,8 +70,7 @@
         Some(Incarnation::of(&server.vm.id, server.incarnation.as_deref()))
     }
 
-    /// Records that a connection broke while a request ran on it. A leaving server is skipped, since it ends
-    /// by a planned stop.
+    /// Records that a connection broke while a request ran on it. A leaving server ends by a planned stop.
     pub(super) fn record_disconnect(
         &mut self,
         now: Time,
@@ -276,8 +275,8 @@
         Some(())
     }
 
-    /// Probes servers that may have crashed, writes blocks and expires old ones. The first live daemon writes
-    /// and renews blocks before the log drops them. Two daemons that both take this role do no harm.
+    /// Probes servers that may have crashed and expires old blocks. The first live daemon writes blocks, and
+    /// renews them before the log drops them. Two daemons that both take this role do no harm.
     pub(super) fn maintain_poison(&mut self, now: Time) {
         for Probe { incarnation, address } in self.detector.due_probes(now) {
             self.effects.push(Effect::Probe(incarnation, address));
