--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -16,30 +16,30 @@
     format!("HTTP/1.1 {} {}", response.status, response.reason)
 }
 
-pub(super) fn stream_head(response: &Response, close: bool) -> String {
+pub(super) fn encode_stream_head(response: &Response, close: bool) -> String {
     let coding = [("Transfer-Encoding", "chunked")];
     let closing = close.then_some(("Connection", "close"));
     let fields = response.fields.end_to_end().chain(coding).chain(closing);
-    head::write(&status_line(response), fields)
+    head::encode(&status_line(response), fields)
 }
 
-pub(super) fn whole_answer(response: &Response, body: &[u8], close: bool) -> Vec<u8> {
+pub(super) fn encode_answer(response: &Response, body: &[u8], close: bool) -> Vec<u8> {
     let length = body.len().to_string();
     let bodiless = matches!(response.status, 204 | 304);
     let framing = (!bodiless).then_some(("Content-Length", length.as_str()));
     let closing = close.then_some(("Connection", "close"));
     let fields = response.fields.end_to_end().chain(framing).chain(closing);
-    let mut answer = head::write(&status_line(response), fields).into_bytes();
+    let mut answer = head::encode(&status_line(response), fields).into_bytes();
     answer.extend_from_slice(body);
     answer
 }
 
 /// An answer that this router makes itself.
-pub(super) fn own_answer(
+pub(super) fn encode_error(
     error: &Error,
     retry_after: Option<Duration>,
     mut fields: Fields,
-    keep: bool,
+    keep_alive: bool,
 ) -> Vec<u8> {
     let row = error.code.row();
     let body = serde_json::json!({
@@ -53,11 +53,11 @@
     }
     fields.push("Content-Type", "application/json");
     fields.push("Content-Length", body.len().to_string());
-    if !keep {
+    if !keep_alive {
         fields.push("Connection", "close");
     }
-    let first = format!("HTTP/1.1 {} {}", row.status, row.name);
-    let mut answer = head::write(&first, fields.iter()).into_bytes();
+    let first_line = format!("HTTP/1.1 {} {}", row.status, row.name);
+    let mut answer = head::encode(&first_line, fields.iter()).into_bytes();
     answer.extend_from_slice(body.as_bytes());
     answer
 }
--- a/src/relay/body.rs
+++ b/src/relay/body.rs
@@ -3,7 +3,7 @@
 use super::{Fields, Malformed};
 
 /// Bytes that a line of chunked framing may have.
-const MAX_LINE: usize = 1_024;
+const MAX_CHUNK_LINE_BYTES: usize = 1_024;
 
 /// How a body is delimited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,18 +19,18 @@
 impl Framing {
     /// The framing of a request with these fields.
     pub fn of_request(fields: &Fields) -> Result<Self, Malformed> {
-        Ok(declared(fields)?.unwrap_or(Self::Length(0)))
+        Ok(declared_framing(fields)?.unwrap_or(Self::Length(0)))
     }
 
     /// The framing of an answer with these fields.
     pub fn of_response(fields: &Fields) -> Result<Self, Malformed> {
-        Ok(declared(fields)?.unwrap_or(Self::UntilClose))
+        Ok(declared_framing(fields)?.unwrap_or(Self::UntilClose))
     }
 }
 
 /// The framing that the fields declare. Contradictions are errors, since another reader could
 /// resolve them otherwise and see another request in the body.
-fn declared(fields: &Fields) -> Result<Option<Framing>, Malformed> {
+fn declared_framing(fields: &Fields) -> Result<Option<Framing>, Malformed> {
     let mut lengths = fields.all("content-length");
     let mut codings = fields.all("transfer-encoding");
     let (length, coding) = (lengths.next(), codings.next());
@@ -55,46 +55,46 @@
 
 /// Where a decoder stands in a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
+enum State {
     /// So many bytes of a body with a length are missing.
     Length(u64),
     /// The line with a chunk's size comes next.
-    Size,
+    ChunkSize,
     /// So many bytes of a chunk are missing.
-    Chunk(u64),
+    ChunkData(u64),
     /// The line break after a chunk comes next.
-    Break,
+    ChunkEnd,
     /// Trailer lines come next.
     Trailer,
     /// The body ends with its connection.
     UntilClose,
     /// The body is complete.
-    End,
+    Complete,
 }
 
 /// Frees a body's bytes of their framing, as they come.
 #[derive(Debug)]
-pub struct Decoder(Place);
+pub struct Decoder(State);
 
 impl Decoder {
     /// A decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
-            Framing::Length(0) => Place::End,
-            Framing::Length(length) => Place::Length(length),
-            Framing::Chunked => Place::Size,
-            Framing::UntilClose => Place::UntilClose,
+            Framing::Length(0) => State::Complete,
+            Framing::Length(length) => State::Length(length),
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         })
     }
 
     /// Whether the body is complete.
     pub fn is_complete(&self) -> bool {
-        self.0 == Place::End
+        self.0 == State::Complete
     }
 
     /// Whether the end of the connection completes the body.
-    pub fn ends_with_connection(&self) -> bool {
-        self.0 == Place::UntilClose
+    pub fn completes_on_close(&self) -> bool {
+        self.0 == State::UntilClose
     }
 
     /// Moves the body's bytes from the front of `input` to `output`; returns how many bytes of
@@ -112,14 +112,18 @@
         loop {
             let rest = &input[used..];
             let step = match self.0 {
-                Place::End => return Ok(used),
-                Place::Length(left) => self.copy(rest, left, output, Place::Length, Place::End),
-                Place::Chunk(left) => self.copy(rest, left, output, Place::Chunk, Place::Break),
-                Place::UntilClose => {
+                State::Complete => return Ok(used),
+                State::Length(left) => {
+                    self.copy(rest, left, output, State::Length, State::Complete)
+                }
+                State::ChunkData(left) => {
+                    self.copy(rest, left, output, State::ChunkData, State::ChunkEnd)
+                }
+                State::UntilClose => {
                     output.extend_from_slice(rest);
                     rest.len()
                 }
-                Place::Size | Place::Break | Place::Trailer => self.line(rest)?,
+                State::ChunkSize | State::ChunkEnd | State::Trailer => self.decode_line(rest)?,
             };
             if step == 0 {
                 return Ok(used);
@@ -133,8 +137,8 @@
         input: &[u8],
         left: u64,
         output: &mut Vec<u8>,
-        unfinished: impl Fn(u64) -> Place,
-        finished: Place,
+        unfinished: impl Fn(u64) -> State,
+        finished: State,
     ) -> usize {
         let count = usize::try_from(left).unwrap_or(usize::MAX).min(input.len());
         output.extend_from_slice(&input[..count]);
@@ -144,21 +148,21 @@
     }
 
     /// Takes one line of chunked framing; returns its length, 0 while it is incomplete.
-    fn line(&mut self, input: &[u8]) -> Result<usize, Malformed> {
+    fn decode_line(&mut self, input: &[u8]) -> Result<usize, Malformed> {
         let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
-            let long = input.len() > MAX_LINE;
+            let long = input.len() > MAX_CHUNK_LINE_BYTES;
             return if long { Err(Malformed("a chunk line is too long".into())) } else { Ok(0) };
         };
         self.0 = match self.0 {
-            Place::Size => match httparse::parse_chunk_size(&input[..end + 2]) {
-                Ok(httparse::Status::Complete((_, 0))) => Place::Trailer,
-                Ok(httparse::Status::Complete((_, size))) => Place::Chunk(size),
+            State::ChunkSize => match httparse::parse_chunk_size(&input[..end + 2]) {
+                Ok(httparse::Status::Complete((_, 0))) => State::Trailer,
+                Ok(httparse::Status::Complete((_, size))) => State::ChunkData(size),
                 _ => return Err(Malformed("a chunk's size is not well-formed".into())),
             },
-            Place::Break if end == 0 => Place::Size,
-            Place::Break => return Err(Malformed("a chunk is longer than its size".into())),
-            Place::Trailer if end == 0 => Place::End,
-            place => place,
+            State::ChunkEnd if end == 0 => State::ChunkSize,
+            State::ChunkEnd => return Err(Malformed("a chunk is longer than its size".into())),
+            State::Trailer if end == 0 => State::Complete,
+            state => state,
         };
         Ok(end + 2)
     }
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -7,9 +7,9 @@
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
 
-use super::answer::{own_answer, whole_answer};
-use super::passage::{End, Passage, Progress};
-use super::{Ask, Conn, Cut, Dialect, Fields, Pool, Request};
+use super::answer::{encode_answer, encode_error};
+use super::passage::{Delivery, Outcome, Progress};
+use super::{Conn, Cut, Dialect, Fields, Metadata, Pool, Request};
 use crate::fleet::Control;
 use crate::prelude::*;
 use crate::route::{Found, Limits};
@@ -17,33 +17,33 @@
 use crate::telemetry::metrics::Metrics;
 
 /// Time for the body of a request to arrive, once its head has.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which a caller may come back that found no configuration here yet.
-const NOT_YET: Duration = Duration::from_millis(500);
+const NO_MANIFEST_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// What all callers' connections share.
-pub struct Entry {
+pub struct Frontend {
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) control: Control,
     pub(super) pool: Arc<Pool>,
     metrics: Arc<Metrics>,
     /// Closed once idle connections are to be closed.
-    closing: Receiver<()>,
+    shutdown: Receiver<()>,
     /// Requests of which a byte was read and that have no whole answer yet.
     unanswered: AtomicUsize,
 }
 
-impl Entry {
-    /// An entry; once `closing` is closed, idle connections are closed.
+impl Frontend {
+    /// A frontend; once `shutdown` is closed, idle connections are closed.
     pub fn new(
         dialect: Arc<dyn Dialect>,
         control: Control,
         pool: Arc<Pool>,
         metrics: Arc<Metrics>,
-        closing: Receiver<()>,
+        shutdown: Receiver<()>,
     ) -> Self {
         let unanswered = AtomicUsize::new(0);
-        Self { dialect, control, pool, metrics, closing, unanswered }
+        Self { dialect, control, pool, metrics, shutdown, unanswered }
     }
 
     /// Requests of which a byte was read and whose answer has not gone out: control forgets a request
@@ -61,9 +61,9 @@
 struct Unanswered<'a>(&'a AtomicUsize);
 
 impl<'a> Unanswered<'a> {
-    fn begin(entry: &'a Entry) -> Self {
-        entry.unanswered.fetch_add(1, Ordering::AcqRel);
-        Self(&entry.unanswered)
+    fn new(frontend: &'a Frontend) -> Self {
+        frontend.unanswered.fetch_add(1, Ordering::AcqRel);
+        Self(&frontend.unanswered)
     }
 }
 
@@ -74,72 +74,72 @@
 }
 
 /// Serves one caller's connection until it closes.
-pub async fn serve(entry: Arc<Entry>, stream: Async<TcpStream>) {
+pub async fn serve(frontend: Arc<Frontend>, stream: Async<TcpStream>) {
     let mut conn = Conn::new(stream);
     loop {
-        let limits = entry.limits();
-        if !wait_for_request(&entry, &mut conn, limits).await {
+        let limits = frontend.limits();
+        if !wait_for_request(&frontend, &mut conn, limits).await {
             return;
         }
-        let _unanswered = Unanswered::begin(&entry);
+        let _unanswered = Unanswered::new(&frontend);
         let (request, body) = match read_request(&mut conn, limits).await {
             Ok(read) => read,
             Err(code) => {
                 if let Some(code) = code {
-                    let answer = own_answer(&Error::from(code), None, Fields::default(), false);
+                    let answer = encode_error(&Error::from(code), None, Fields::default(), false);
                     conn.write(&answer).await.ok();
                 }
                 return;
             }
         };
-        let keep = request.keep;
-        let kept = pass_on(&entry, &mut conn, &request, &body).await;
-        if !kept || !keep {
+        let keep_alive = request.keep_alive;
+        let reusable = forward_request(&frontend, &mut conn, &request, &body).await;
+        if !reusable || !keep_alive {
             return;
         }
     }
 }
 
 /// Waits for the first byte of a request; false where the connection is to be closed.
-async fn wait_for_request(entry: &Entry, conn: &mut Conn, limits: Limits) -> bool {
+async fn wait_for_request(frontend: &Frontend, conn: &mut Conn, limits: Limits) -> bool {
     let idle = async {
         Timer::after(limits.idle).await;
         false
     };
-    let closing = async {
-        entry.closing.recv().await.ok();
+    let shutdown = async {
+        frontend.shutdown.recv().await.ok();
         false
     };
-    conn.has_begun().or(idle).or(closing).await
+    conn.wait_for_data().or(idle).or(shutdown).await
 }
 
 /// Reads a whole request; on failure the code to answer with, where one is due.
 async fn read_request(conn: &mut Conn, limits: Limits) -> Result<(Request, Vec<u8>), Option<Code>> {
-    let late = async {
+    let expire = async {
         Timer::after(limits.head_time).await;
         Err(Some(Code::HeadTimeout))
     };
     let read = async {
-        conn.read_request(limits.head_bytes).await.map_err(|cut| code_of(&cut, Code::HeadTooLarge))
+        conn.read_request(limits.head_bytes).await.map_err(|cut| code_for(&cut, Code::HeadTooLarge))
     };
-    let request = read.or(late).await?;
+    let request = read.or(expire).await?;
     if request.fields.get("expect").is_some_and(|expect| expect.starts_with("100-")) {
         conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.ok();
     }
-    let late = async {
-        Timer::after(BODY_TIME).await;
+    let expire = async {
+        Timer::after(BODY_TIMEOUT).await;
         Err(Some(Code::HeadTimeout))
     };
     let framing = request.framing;
     let read = async {
         let body = conn.read_whole(framing, limits.body_bytes).await;
-        body.map_err(|cut| code_of(&cut, Code::BodyTooLarge))
+        body.map_err(|cut| code_for(&cut, Code::BodyTooLarge))
     };
-    let body = read.or(late).await?;
+    let body = read.or(expire).await?;
     Ok((request, body))
 }
 
-fn code_of(cut: &Cut, too_large: Code) -> Option<Code> {
+fn code_for(cut: &Cut, too_large: Code) -> Option<Code> {
     match cut {
         Cut::Closed | Cut::Broken(_) => None,
         Cut::Malformed(_) => Some(Code::MalformedRequest),
@@ -148,27 +148,39 @@
 }
 
 /// Passes a request on and answers it; whether the connection may be kept.
-async fn pass_on(entry: &Entry, conn: &mut Conn, request: &Request, body: &[u8]) -> bool {
-    let ask = match entry.dialect.ask(request) {
-        Ok(ask) => ask,
+async fn forward_request(
+    frontend: &Frontend,
+    conn: &mut Conn,
+    request: &Request,
+    body: &[u8],
+) -> bool {
+    let metadata = match frontend.dialect.metadata(request) {
+        Ok(metadata) => metadata,
         Err(malformed) => {
             let error = Error::new(Code::MalformedRequest, malformed.0);
-            let answer = own_answer(&error, None, Fields::default(), false);
+            let answer = encode_error(&error, None, Fields::default(), false);
             conn.write(&answer).await.ok();
             return false;
         }
     };
-    let mut log = Outcome::new(entry, &ask);
-    let own = entry.dialect.own_fields(&ask);
-    let found = match entry.control.table() {
+    let mut summary = Summary::new(frontend, &metadata);
+    let error_fields = frontend.dialect.error_fields(&metadata);
+    let found = match frontend.control.table() {
         Some(table) => {
-            log.table = table.version();
+            summary.table_version = table.version();
             let host = request.fields.get("host").unwrap_or_default();
-            table.find(host, request.path(), ask.key.as_deref())
+            table.find(host, request.path(), metadata.workspace_key.as_deref())
         }
         None => {
-            log.ended(&End::Code(Code::NoManifest, Some(NOT_YET)));
-            return answer_code(entry, conn, Code::NoManifest, Some(NOT_YET), own).await;
+            summary.record(&Outcome::Code(Code::NoManifest, Some(NO_MANIFEST_RETRY_AFTER)));
+            return answer_error(
+                frontend,
+                conn,
+                Code::NoManifest,
+                Some(NO_MANIFEST_RETRY_AFTER),
+                error_fields,
+            )
+            .await;
         }
     };
     let (route, workspace) = match found {
@@ -176,85 +188,87 @@
         Found::NoRoute | Found::NoWorkspace => {
             let unknown = matches!(found, Found::NoRoute);
             let code = if unknown { Code::UnknownPath } else { Code::WrongKey };
-            log.ended(&End::Code(code, None));
-            return answer_code(entry, conn, code, None, own).await;
+            summary.record(&Outcome::Code(code, None));
+            return answer_error(frontend, conn, code, None, error_fields).await;
         }
     };
-    log.route = route.name.clone();
-    log.workspace = workspace.as_ref().map_or_else(String::new, |owner| owner.name.clone());
-    let limit = ask.patience.map_or(route.timeout, |patience| patience.min(route.timeout));
-    log.limit = limit;
-    let passage = Passage {
-        entry,
+    summary.route = route.name.clone();
+    summary.workspace = workspace.as_ref().map_or_else(String::new, |owner| owner.name.clone());
+    let limit = metadata.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
+    summary.limit = limit;
+    let delivery = Delivery {
+        frontend,
         request,
         body,
         workspace,
-        key: entry.control.next_request_key(),
-        deadline: log.started + ask.patience.unwrap_or(limit),
-        ask,
+        key: frontend.control.next_request_key(),
+        deadline: summary.started + metadata.timeout.unwrap_or(limit),
+        metadata,
         progress: Progress::default(),
         route,
     };
     let writer = conn.writer();
-    let gone = async {
-        conn.gone().await;
-        End::Left
+    let disconnect = async {
+        conn.wait_for_disconnect().await;
+        Outcome::Disconnected
     };
-    let late = async {
+    let expire = async {
         Timer::after(limit).await;
-        passage.late()
+        delivery.on_timeout()
     };
-    let end = passage.run(&writer).or(gone).or(late).await;
-    if let Some(first) = passage.progress.first_byte() {
-        let waited = first.saturating_sub(log.started);
-        let priority = passage.route.priority.to_string();
-        entry.metrics.first_token(&log.route, priority, waited);
+    let end = delivery.run(&writer).or(disconnect).or(expire).await;
+    if let Some(first) = delivery.progress.first_byte() {
+        let waited = first.saturating_sub(summary.started);
+        let priority = delivery.route.priority.to_string();
+        frontend.metrics.first_token(&summary.route, priority, waited);
     }
-    drop(passage);
-    log.ended(&end);
+    drop(delivery);
+    summary.record(&end);
     match end {
-        End::Answered => !entry.control.is_draining(),
-        End::Cut | End::Left => false,
-        End::Code(code, retry_after) => answer_code(entry, conn, code, retry_after, own).await,
-        End::Failure(answer) => {
+        Outcome::Answered => !frontend.control.is_draining(),
+        Outcome::Truncated | Outcome::Disconnected => false,
+        Outcome::Code(code, retry_after) => {
+            answer_error(frontend, conn, code, retry_after, error_fields).await
+        }
+        Outcome::ServerFailure(answer) => {
             let (response, body) = *answer;
-            let close = entry.control.is_draining();
-            conn.write(&whole_answer(&response, &body, close)).await.is_ok() && !close
+            let close = frontend.control.is_draining();
+            conn.write(&encode_answer(&response, &body, close)).await.is_ok() && !close
         }
     }
 }
 
 /// What is logged and counted of a request's end.
-struct Outcome<'a> {
-    entry: &'a Entry,
+struct Summary<'a> {
+    frontend: &'a Frontend,
     id: String,
     started: Time,
     /// The configuration's version; 0 where there is none.
-    table: u64,
+    table_version: u64,
     route: String,
     workspace: String,
     /// The time that the request has at most; zero where it has no route.
     limit: Duration,
 }
 
-impl<'a> Outcome<'a> {
-    fn new(entry: &'a Entry, ask: &Ask) -> Self {
+impl<'a> Summary<'a> {
+    fn new(frontend: &'a Frontend, metadata: &Metadata) -> Self {
         let (route, workspace) = (String::new(), String::new());
-        let started = entry.control.clock.now();
-        let id = ask.id.clone();
-        Self { entry, id, started, table: 0, route, workspace, limit: Duration::ZERO }
+        let started = frontend.control.clock.now();
+        let id = metadata.id.clone();
+        Self { frontend, id, started, table_version: 0, route, workspace, limit: Duration::ZERO }
     }
 
-    fn ended(&self, end: &End) {
+    fn record(&self, end: &Outcome) {
         let (outcome, code, after) = match end {
-            End::Answered => ("answered", None, None),
-            End::Cut => ("cut", None, None),
-            End::Left => ("caller-left", None, None),
-            End::Failure(_) => ("server-failure", None, None),
-            End::Code(code, after) => (code.row().name, Some(*code), *after),
+            Outcome::Answered => ("answered", None, None),
+            Outcome::Truncated => ("cut", None, None),
+            Outcome::Disconnected => ("caller-left", None, None),
+            Outcome::ServerFailure(_) => ("server-failure", None, None),
+            Outcome::Code(code, after) => (code.row().name, Some(*code), *after),
         };
         let number = code.map_or(0, |code| code.row().number);
-        self.entry.metrics.answered(&self.workspace, &self.route, number);
+        self.frontend.metrics.answered(&self.workspace, &self.route, number);
         let detail = Detail::of("request", self.id.as_str())
             .and("route", self.route.as_str())
             .and("workspace", self.workspace.as_str())
@@ -262,21 +276,21 @@
             .and_some("code", code.map(|code| u32::from(code.row().number)))
             .and_some("execution", code.map(|code| code.row().execution.as_str()))
             .and_some("retry_after_ms", after)
-            .and("total_ms", self.entry.control.clock.now().saturating_sub(self.started))
+            .and("total_ms", self.frontend.control.clock.now().saturating_sub(self.started))
             .and("limit_ms", self.limit)
-            .and("table", self.table);
+            .and("table", self.table_version);
         emit(Event::RequestEnded, detail);
     }
 }
 
-async fn answer_code(
-    entry: &Entry,
+async fn answer_error(
+    frontend: &Frontend,
     conn: &Conn,
     code: Code,
     retry_after: Option<Duration>,
-    own: Fields,
+    error_fields: Fields,
 ) -> bool {
-    let close = entry.control.is_draining();
-    let answer = own_answer(&Error::from(code), retry_after, own, !close);
+    let close = frontend.control.is_draining();
+    let answer = encode_error(&Error::from(code), retry_after, error_fields, !close);
     conn.write(&answer).await.is_ok() && !close
 }
--- a/src/relay/conn.rs
+++ b/src/relay/conn.rs
@@ -12,15 +12,15 @@
 use super::{Decoder, Framing, Malformed, Request, Response};
 
 /// Bytes that one read takes at most.
-const READ_BYTES: usize = 16 << 10;
+const READ_CHUNK_BYTES: usize = 16 << 10;
 /// Bytes of the head of a backend server's answer.
-const MAX_ANSWER_HEAD: usize = 64 << 10;
+const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
 /// Bytes that a caller may send ahead while its answer is awaited.
-const MAX_AHEAD: usize = 64 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
 /// Silence after which the kernel asks whether the other end is there, in whole seconds.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 /// Unanswered questions after which a connection fails, a second apart.
-const KEEPALIVE_COUNT: u32 = 3;
+const KEEPALIVE_PROBES: u32 = 3;
 /// Milliseconds for which sent bytes may stay unacknowledged: several retransmissions on a lossy
 /// link, and well under the time that a caller waits.
 const USER_TIMEOUT_MS: u32 = 2_000;
@@ -55,7 +55,7 @@
 pub struct Conn {
     stream: Arc<Async<TcpStream>>,
     /// Bytes that were read and not yet used.
-    ahead: Vec<u8>,
+    read_ahead: Vec<u8>,
 }
 
 impl Conn {
@@ -66,9 +66,9 @@
         sockopt::set_socket_keepalive(socket, true).ok();
         sockopt::set_tcp_keepidle(socket, KEEPALIVE_IDLE).ok();
         sockopt::set_tcp_keepintvl(socket, KEEPALIVE_IDLE).ok();
-        sockopt::set_tcp_keepcnt(socket, KEEPALIVE_COUNT).ok();
+        sockopt::set_tcp_keepcnt(socket, KEEPALIVE_PROBES).ok();
         sockopt::set_tcp_user_timeout(socket, USER_TIMEOUT_MS).ok();
-        Self { stream: Arc::new(stream), ahead: Vec::new() }
+        Self { stream: Arc::new(stream), read_ahead: Vec::new() }
     }
 
     /// Connects to `address` within `limit`.
@@ -93,38 +93,38 @@
 
     /// Whether bytes or the end of the connection have come that nobody asked for. Only looks; an
     /// idle connection that is not silent can't be used.
-    pub fn is_disturbed(&self) -> bool {
+    pub fn has_unexpected_input(&self) -> bool {
         let mut byte = [0];
         let peeked = self.stream.get_ref().peek(&mut byte);
         let silent = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        !self.ahead.is_empty() || !silent
+        !self.read_ahead.is_empty() || !silent
     }
 
     /// Reads more bytes; how many, 0 at the end of the connection.
     async fn fill(&mut self) -> io::Result<usize> {
-        let start = self.ahead.len();
-        self.ahead.resize(start + READ_BYTES, 0);
-        let read = (&mut &*self.stream).read(&mut self.ahead[start..]).await;
-        self.ahead.truncate(start + read.as_ref().copied().unwrap_or(0));
+        let start = self.read_ahead.len();
+        self.read_ahead.resize(start + READ_CHUNK_BYTES, 0);
+        let read = (&mut &*self.stream).read(&mut self.read_ahead[start..]).await;
+        self.read_ahead.truncate(start + read.as_ref().copied().unwrap_or(0));
         read
     }
 
     /// Waits until a byte has come; false where the connection ended first.
-    pub async fn has_begun(&mut self) -> bool {
-        !self.ahead.is_empty() || matches!(self.fill().await, Ok(1..))
+    pub async fn wait_for_data(&mut self) -> bool {
+        !self.read_ahead.is_empty() || matches!(self.fill().await, Ok(1..))
     }
 
     /// Waits until the other end has gone, and keeps what it sends meanwhile. Ends never for one
     /// that sends more than may be kept.
-    pub async fn gone(&mut self) {
+    pub async fn wait_for_disconnect(&mut self) {
         let mut chunk = vec![0; 4_096];
         loop {
-            if self.ahead.len() > MAX_AHEAD {
+            if self.read_ahead.len() > MAX_READ_AHEAD_BYTES {
                 std::future::pending::<()>().await;
             }
             match (&mut &*self.stream).read(&mut chunk).await {
                 Ok(0) | Err(_) => return,
-                Ok(count) => self.ahead.extend_from_slice(&chunk[..count]),
+                Ok(count) => self.read_ahead.extend_from_slice(&chunk[..count]),
             }
         }
     }
@@ -132,39 +132,39 @@
     /// Reads the head of a request of at most `limit` bytes.
     pub async fn read_request(&mut self, limit: usize) -> Result<Request, Cut> {
         loop {
-            if let Some((request, length)) = Request::parse(&self.ahead)? {
+            if let Some((request, length)) = Request::parse(&self.read_ahead)? {
                 if length > limit {
                     return Err(Cut::TooLarge);
                 }
-                self.ahead.drain(..length);
+                self.read_ahead.drain(..length);
                 return Ok(request);
             }
-            self.more(limit).await?;
+            self.read_more_head(limit).await?;
         }
     }
 
     /// Reads the head of an answer, past those that only announce it.
-    pub async fn read_response(&mut self, to_head: bool) -> Result<Response, Cut> {
+    pub async fn read_response(&mut self, answers_head: bool) -> Result<Response, Cut> {
         loop {
-            match Response::parse(&self.ahead, to_head)? {
+            match Response::parse(&self.read_ahead, answers_head)? {
                 Some((response, length)) => {
-                    self.ahead.drain(..length);
+                    self.read_ahead.drain(..length);
                     if response.status >= 200 {
                         return Ok(response);
                     }
                 }
-                None => self.more(MAX_ANSWER_HEAD).await?,
+                None => self.read_more_head(MAX_ANSWER_HEAD_BYTES).await?,
             }
         }
     }
 
     /// Reads more of a head that may have `limit` bytes.
-    async fn more(&mut self, limit: usize) -> Result<(), Cut> {
-        if self.ahead.len() > limit {
+    async fn read_more_head(&mut self, limit: usize) -> Result<(), Cut> {
+        if self.read_ahead.len() > limit {
             return Err(Cut::TooLarge);
         }
         match self.fill().await? {
-            0 if self.ahead.is_empty() => Err(Cut::Closed),
+            0 if self.read_ahead.is_empty() => Err(Cut::Closed),
             0 => Err(Cut::Broken("the connection ended within a head".into())),
             _ => Ok(()),
         }
@@ -182,13 +182,13 @@
         }
         let before = output.len();
         loop {
-            let used = decoder.decode(&self.ahead, output)?;
-            self.ahead.drain(..used);
+            let used = decoder.decode(&self.read_ahead, output)?;
+            self.read_ahead.drain(..used);
             if output.len() > before || decoder.is_complete() {
                 return Ok(true);
             }
             if self.fill().await? == 0 {
-                return match decoder.ends_with_connection() {
+                return match decoder.completes_on_close() {
                     true => Ok(false),
                     false => Err(Cut::Broken("the connection ended within a body".into())),
                 };
--- a/src/relay/events.rs
+++ b/src/relay/events.rs
@@ -6,13 +6,13 @@
     /// The beginning of an event whose end has not come.
     partial: Vec<u8>,
     /// The id of the last whole event.
-    last: Option<u64>,
+    last_id: Option<u64>,
 }
 
 impl Events {
     /// The events of an answer to a caller who has those up to `last`.
-    pub fn after(last: Option<u64>) -> Self {
-        Self { partial: Vec::new(), last }
+    pub fn after(last_id: Option<u64>) -> Self {
+        Self { partial: Vec::new(), last_id }
     }
 
     /// Takes bytes as they come; returns those of the whole events among them. Events whose ids
@@ -20,10 +20,10 @@
     ///
     /// ```
     /// let mut events = cardamomvalve::relay::Events::default();
-    /// assert_eq!(events.take(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
-    /// assert_eq!(events.last(), Some(1));
+    /// assert_eq!(events.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
+    /// assert_eq!(events.last_id(), Some(1));
     /// ```
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<u8> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Vec<u8> {
         let scanned = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
         let mut whole = Vec::new();
@@ -32,10 +32,10 @@
         while let Some(end) = event_end(&self.partial, from) {
             let event = &self.partial[start..end];
             let id = event_id(event);
-            let repeated = id.is_some_and(|id| self.last.is_some_and(|last| id <= last));
+            let repeated = id.is_some_and(|id| self.last_id.is_some_and(|last| id <= last));
             if !repeated {
                 whole.extend_from_slice(event);
-                self.last = id.or(self.last);
+                self.last_id = id.or(self.last_id);
             }
             start = end;
             from = end;
@@ -45,17 +45,17 @@
     }
 
     /// Bytes after the last whole event; they belong to none.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
     /// The id of the last whole event.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// Forgets a partial event: the next run begins it anew.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -12,10 +12,10 @@
 
 /// Time for a connection to a server: many times the way within a region, and short enough to try
 /// another server within a caller's target.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Idle connections kept for calls of this router: long polls and the calls beside them.
-const CALLS_IDLE: usize = 8;
+const MAX_IDLE_CALL_CONNECTIONS: usize = 8;
 
 /// An exchange that failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     }
 
     /// Reads the rest of the body, of at most `limit` bytes.
-    pub async fn whole(&mut self, limit: usize) -> Result<Vec<u8>, Cut> {
+    pub async fn read_whole(&mut self, limit: usize) -> Result<Vec<u8>, Cut> {
         let mut body = Vec::new();
         while self.read(&mut body).await? {
             if body.len() > limit {
@@ -55,31 +55,31 @@
     }
 
     /// Keeps the connection, where it may be used again, and `most` idle ones to its server.
-    pub fn finish(self, pool: &Pool, most: usize) {
-        if self.response.keep && self.decoder.is_complete() {
-            pool.put(self.address, self.conn, &self.response.fields, most);
+    pub fn release(self, pool: &Pool, max_idle: usize) {
+        if self.response.keep_alive && self.decoder.is_complete() {
+            pool.put(self.address, self.conn, &self.response.fields, max_idle);
         }
     }
 }
 
-/// Sends `request`, a whole message, to `address` and reads the head of the answer. `sending` is
+/// Sends `request`, a whole message, to `address` and reads the head of the answer. `on_send` is
 /// called before the first byte leaves.
 pub async fn send(
     pool: &Pool,
     address: SocketAddr,
     request: &[u8],
-    to_head: bool,
-    sending: impl FnOnce(),
+    answers_head: bool,
+    on_send: impl FnOnce(),
 ) -> Result<Answer, Failure> {
     let mut conn = match pool.take(address) {
         Some(conn) => conn,
-        None => Conn::connect(address, CONNECT)
+        None => Conn::connect(address, CONNECT_TIMEOUT)
             .await
             .map_err(|error| Failure::Unsent(error.to_string()))?,
     };
-    sending();
+    on_send();
     write(&conn, request).await?;
-    let response = conn.read_response(to_head).await.map_err(Failure::Lost)?;
+    let response = conn.read_response(answers_head).await.map_err(Failure::Lost)?;
     let decoder = Decoder::new(response.framing);
     Ok(Answer { response, decoder, address, conn })
 }
@@ -101,7 +101,7 @@
 /// Looks whether somebody listens at `address`. Nothing is sent there. One that resets what it had accepted, as a server
 /// does that is about to end, listened until then.
 pub async fn probe(address: SocketAddr) -> poison::Answer {
-    let error = match Conn::connect(address, CONNECT).await {
+    let error = match Conn::connect(address, CONNECT_TIMEOUT).await {
         Ok(_) => return poison::Answer::Accepted,
         Err(error) => error.kind(),
     };
@@ -130,25 +130,25 @@
     pool: &Pool,
     address: SocketAddr,
     call: Call,
-    limit: Duration,
-    most: usize,
+    timeout: Duration,
+    max_body_bytes: usize,
 ) -> Result<(u16, Vec<u8>), Failure> {
     let host = address.to_string();
     let length = call.body.len().to_string();
     let framing = [("Host", host.as_str()), ("Content-Length", length.as_str())];
     let fields = framing.into_iter().chain(call.fields.iter());
-    let first = format!("{} {} HTTP/1.1", call.method, call.target);
-    let mut message = head::write(&first, fields).into_bytes();
+    let first_line = format!("{} {} HTTP/1.1", call.method, call.target);
+    let mut message = head::encode(&first_line, fields).into_bytes();
     message.extend_from_slice(&call.body);
     let exchange = async {
         let mut answer = send(pool, address, &message, false, || {}).await?;
-        let body = answer.whole(most).await.map_err(Failure::Lost)?;
+        let body = answer.read_whole(max_body_bytes).await.map_err(Failure::Lost)?;
         let status = answer.response.status;
-        answer.finish(pool, CALLS_IDLE);
+        answer.release(pool, MAX_IDLE_CALL_CONNECTIONS);
         Ok((status, body))
     };
     let expire = async {
-        Timer::after(limit).await;
+        Timer::after(timeout).await;
         Err(Failure::Lost(Cut::Broken("no answer within the time limit".into())))
     };
     exchange.or(expire).await
--- a/src/relay/head.rs
+++ b/src/relay/head.rs
@@ -71,13 +71,13 @@
     }
 
     /// Whether the sender will close the connection after this message.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.all("connection")
             .flat_map(|value| value.split(','))
             .any(|option| option.trim().eq_ignore_ascii_case("close"))
     }
 
-    fn read(fields: &[httparse::Header<'_>]) -> Result<Self, Malformed> {
+    fn parse(fields: &[httparse::Header<'_>]) -> Result<Self, Malformed> {
         let text = |field: &httparse::Header<'_>| {
             let value: String = match std::str::from_utf8(field.value) {
                 Ok(value) => value.to_owned(),
@@ -101,7 +101,7 @@
     /// How the body is delimited.
     pub framing: Framing,
     /// Whether the connection may be used again after the answer.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Request {
@@ -113,15 +113,15 @@
         let httparse::Status::Complete(length) = status else {
             return Ok(None);
         };
-        let fields = Fields::read(parsed.headers)?;
+        let fields = Fields::parse(parsed.headers)?;
         let framing = Framing::of_request(&fields)?;
-        let keep = parsed.version == Some(1) && !fields.closes();
+        let keep_alive = parsed.version == Some(1) && !fields.closes_connection();
         let request = Self {
             method: parsed.method.unwrap_or_default().to_owned(),
             target: parsed.path.unwrap_or_default().to_owned(),
             fields,
             framing,
-            keep,
+            keep_alive,
         };
         if !request.target.starts_with('/') || request.fields.get("host").is_none() {
             return Err(Malformed("the target is no path, or there is not one Host".into()));
@@ -147,13 +147,13 @@
     /// How the body is delimited.
     pub framing: Framing,
     /// Whether the connection may be used again after the answer.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Response {
     /// Reads a head; `None` while it is incomplete. Returns its length in bytes besides. An answer
     /// to a HEAD request has no body, whatever its head says.
-    pub fn parse(bytes: &[u8], to_head: bool) -> Result<Option<(Self, usize)>, Malformed> {
+    pub fn parse(bytes: &[u8], answers_head: bool) -> Result<Option<(Self, usize)>, Malformed> {
         let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut storage);
         let status = parsed.parse(bytes).map_err(|error| Malformed(error.to_string()))?;
@@ -161,19 +161,24 @@
             return Ok(None);
         };
         let status = parsed.code.unwrap_or_default();
-        let fields = Fields::read(parsed.headers)?;
-        let bodiless = to_head || matches!(status, 100..=199 | 204 | 304);
+        let fields = Fields::parse(parsed.headers)?;
+        let bodiless = answers_head || matches!(status, 100..=199 | 204 | 304);
         let framing = if bodiless { Framing::Length(0) } else { Framing::of_response(&fields)? };
-        let keep = parsed.version == Some(1) && !fields.closes() && framing != Framing::UntilClose;
+        let keep_alive = parsed.version == Some(1)
+            && !fields.closes_connection()
+            && framing != Framing::UntilClose;
         let reason = parsed.reason.unwrap_or_default().to_owned();
-        Ok(Some((Self { status, reason, fields, framing, keep }, length)))
+        Ok(Some((Self { status, reason, fields, framing, keep_alive }, length)))
     }
 }
 
 /// Writes a head: its first line, then the fields, then an empty line.
-pub(super) fn write<'a>(first: &str, fields: impl Iterator<Item = (&'a str, &'a str)>) -> String {
+pub(super) fn encode<'a>(
+    first_line: &str,
+    fields: impl Iterator<Item = (&'a str, &'a str)>,
+) -> String {
     let mut text = String::with_capacity(512);
-    text.push_str(first);
+    text.push_str(first_line);
     text.push_str("\r\n");
     for (name, value) in fields {
         write!(text, "{name}: {value}\r\n").ok();
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -19,9 +19,9 @@
 mod tests;
 
 pub use body::{Decoder, Framing};
-pub use caller::{Entry, serve};
+pub use caller::{Frontend, serve};
 pub use conn::{Conn, Cut};
-pub use dialect::{Ask, Dialect, Verdict};
+pub use dialect::{Classification, Dialect, Metadata};
 pub use drain::drain;
 pub use events::Events;
 pub use exchange::{Answer, Call, Failure, fetch, probe};
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -8,15 +8,15 @@
 use crate::prelude::*;
 
 /// Time that an idle connection is kept where the server states none.
-const DEFAULT_KEEP: Duration = Duration::from_secs(2);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 /// Time before the stated end at which a connection is no longer used: a request must not cross
 /// the server's close.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 #[derive(Debug)]
 struct Idle {
     conn: Conn,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Idle connections by address.
@@ -32,7 +32,7 @@
         let kept = idle.get_mut(&address)?;
         let now = Instant::now();
         while let Some(candidate) = kept.pop() {
-            if candidate.until > now && !candidate.conn.is_disturbed() {
+            if candidate.expires_at > now && !candidate.conn.has_unexpected_input() {
                 return Some(candidate.conn);
             }
         }
@@ -41,32 +41,32 @@
     }
 
     /// Closes the idle connections to `address`: who listened there has ended.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         if let Ok(mut idle) = self.idle.lock() {
             idle.remove(&address);
         }
     }
 
-    /// Keeps a connection whose exchange has ended, and `most` idle ones to its address; `fields` are
+    /// Keeps a connection whose exchange has ended, and `max_idle` idle ones to its address; `fields` are
     /// those of its answer.
-    pub fn put(&self, address: SocketAddr, conn: Conn, fields: &Fields, most: usize) {
-        let keep =
-            stated_keep(fields).map_or(DEFAULT_KEEP, |stated| stated.saturating_sub(KEEP_MARGIN));
-        if most == 0 || keep.is_zero() || conn.is_disturbed() {
+    pub fn put(&self, address: SocketAddr, conn: Conn, fields: &Fields, max_idle: usize) {
+        let keep = stated_keep_alive(fields)
+            .map_or(DEFAULT_KEEP_ALIVE, |stated| stated.saturating_sub(KEEP_ALIVE_MARGIN));
+        if max_idle == 0 || keep.is_zero() || conn.has_unexpected_input() {
             return;
         }
         let now = Instant::now();
         let Ok(mut idle) = self.idle.lock() else { return };
         let kept = idle.entry(address).or_default();
-        kept.retain(|idle| idle.until > now);
-        let surplus = (kept.len() + 1).saturating_sub(most);
+        kept.retain(|idle| idle.expires_at > now);
+        let surplus = (kept.len() + 1).saturating_sub(max_idle);
         kept.drain(..surplus);
-        kept.push(Idle { conn, until: now + keep });
+        kept.push(Idle { conn, expires_at: now + keep });
     }
 }
 
 /// The seconds that a `Keep-Alive` field states.
-fn stated_keep(fields: &Fields) -> Option<Duration> {
+fn stated_keep_alive(fields: &Fields) -> Option<Duration> {
     let value = fields.get("keep-alive")?;
     let parameters = value.split(',').filter_map(|parameter| parameter.trim().split_once('='));
     let mut timeouts = parameters.filter(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"));
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -14,7 +14,7 @@
     let (head, length) = request(text).expect("well-formed").expect("complete");
     assert_eq!((head.method.as_str(), head.path()), ("POST", "/a/b"));
     assert_eq!(head.target, "/a/b?c=1");
-    assert_eq!((head.framing, head.keep), (Framing::Length(3), true));
+    assert_eq!((head.framing, head.keep_alive), (Framing::Length(3), true));
     assert_eq!(&text[length..], "abc");
 }
 
@@ -60,8 +60,8 @@
     assert_eq!(framing("Content-Length: 7\r\n").framing, Framing::Length(7));
     assert_eq!(framing("Transfer-Encoding: chunked\r\n").framing, Framing::Chunked);
     let unframed = framing("");
-    assert_eq!((unframed.framing, unframed.keep), (Framing::UntilClose, false));
-    assert!(!framing("Content-Length: 7\r\nConnection: close\r\n").keep);
+    assert_eq!((unframed.framing, unframed.keep_alive), (Framing::UntilClose, false));
+    assert!(!framing("Content-Length: 7\r\nConnection: close\r\n").keep_alive);
 }
 
 #[test]
@@ -160,29 +160,29 @@
         ends.sort_unstable();
         let (mut output, mut start) = (Vec::new(), 0);
         for end in ends {
-            output.extend(events.take(&wire[start..end]));
+            output.extend(events.feed(&wire[start..end]));
             start = end;
         }
-        output == wire && events.rest().is_empty()
-            && events.last() == (count > 0).then_some(u64::from(count))
+        output == wire && events.take_partial().is_empty()
+            && events.last_id() == (count > 0).then_some(u64::from(count))
     }
 }
 
 #[test]
 fn take_resumed_stream_drops_what_was_passed_on() {
     let mut events = Events::default();
-    assert_eq!(events.take(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
+    assert_eq!(events.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
     // The server broke off within the second event; another one goes on after the first.
-    events.restart();
+    events.discard_partial();
     let resumed = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-    assert_eq!(events.take(resumed), b"id: 2\ndata: b\n\n");
-    assert_eq!(events.last(), Some(2));
+    assert_eq!(events.feed(resumed), b"id: 2\ndata: b\n\n");
+    assert_eq!(events.last_id(), Some(2));
 }
 
 #[test]
 fn after_caller_has_some_events() {
     let mut events = Events::after(Some(4));
-    assert_eq!(events.take(b"id: 4\n\nid: 5\n\n"), b"id: 5\n\n");
+    assert_eq!(events.feed(b"id: 4\n\nid: 5\n\n"), b"id: 5\n\n");
 }
 
 quickcheck::quickcheck! {
--- a/src/relay/tests/passage.rs
+++ b/src/relay/tests/passage.rs
@@ -14,20 +14,26 @@
 use crate::telemetry::metrics::Metrics;
 
 /// Bytes of an answer that no socket's buffers hold, so that its write stops half way.
-const LARGE: usize = 6 << 20;
+const LARGE_BYTES: usize = 6 << 20;
 
 /// Header fields of no platform.
 struct Bare;
 
 impl Dialect for Bare {
-    fn ask(&self, _: &Request) -> Result<Ask, Malformed> {
-        Ok(Ask { id: "r-1".into(), patience: None, key: None, prompt: None, after: None })
+    fn metadata(&self, _: &Request) -> Result<Metadata, Malformed> {
+        Ok(Metadata {
+            id: "r-1".into(),
+            timeout: None,
+            workspace_key: None,
+            prompt: None,
+            last_event_id: None,
+        })
     }
 
-    fn forward(
+    fn forwarded_fields(
         &self,
         _: &Request,
-        _: &Ask,
+        _: &Metadata,
         _: Option<&Workspace>,
         _: &Dispatch,
         _: Option<Duration>,
@@ -40,11 +46,11 @@
         fields
     }
 
-    fn verdict(&self, _: &Ask, _: &Response) -> Verdict {
-        Verdict::Answer(None)
+    fn classify(&self, _: &Metadata, _: &Response) -> Classification {
+        Classification::Answer(None)
     }
 
-    fn own_fields(&self, _: &Ask) -> Fields {
+    fn error_fields(&self, _: &Metadata) -> Fields {
         Fields::default()
     }
 }
@@ -115,21 +121,21 @@
 }
 
 fn large_answer(streams: bool, letter: char) -> Vec<u8> {
-    let piece = letter.to_string().repeat(LARGE);
+    let piece = letter.to_string().repeat(LARGE_BYTES);
     let body = if streams { format!("id: 1\ndata: {piece}\n\n") } else { piece };
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 /// A caller's connection, and the control thread's side of it.
 struct Scene {
-    entry: Arc<Entry>,
+    frontend: Arc<Frontend>,
     caller: TcpStream,
-    letters: Receiver<Input>,
+    inputs: Receiver<Input>,
 }
 
 impl Scene {
     fn start(streams: bool) -> Self {
-        let (control, letters) = Control::new();
+        let (control, inputs) = Control::new();
         control.set_table(table(streams));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let caller = TcpStream::connect(listener.local_addr().expect("it is bound"));
@@ -137,27 +143,27 @@
         let (stream, _) = listener.accept().expect("it connects");
         let (closer, closing) = async_channel::bounded(1);
         let metrics = Arc::new(Metrics::new().expect("instruments can be made"));
-        let entry = Entry::new(Arc::new(Bare), control, Arc::default(), metrics, closing);
-        let entry = Arc::new(entry);
-        let serving = Arc::clone(&entry);
+        let frontend = Frontend::new(Arc::new(Bare), control, Arc::default(), metrics, closing);
+        let frontend = Arc::new(frontend);
+        let serving = Arc::clone(&frontend);
         thread::spawn(move || {
             let stream = Async::new(stream).expect("it can be waited for");
             block_on(serve(serving, stream));
             drop(closer);
         });
         caller.write_all(b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n").expect("it is read");
-        Self { entry, caller, letters }
+        Self { frontend, caller, inputs }
     }
 
     fn opened(&self) -> (Box<Arrival>, Sender<Command>) {
-        match self.letters.recv_blocking() {
+        match self.inputs.recv_blocking() {
             Ok(Input::Open(arrival, commands)) => (arrival, commands),
             other => panic!("a request was expected: {other:?}"),
         }
     }
 
     fn report(&self) -> (u32, Report) {
-        match self.letters.recv_blocking() {
+        match self.inputs.recv_blocking() {
             Ok(Input::Message(message)) => match *message {
                 Message::Report { attempt, report, .. } => (attempt, report),
                 other => panic!("a report was expected: {other:?}"),
@@ -177,7 +183,7 @@
         let mut conn = Conn::new(Async::new(self.caller.try_clone().expect("open")).expect("open"));
         block_on(async {
             let response = conn.read_response(false).await.expect("a head comes");
-            conn.read_whole(response.framing, 4 * LARGE).await.expect("a whole body comes")
+            conn.read_whole(response.framing, 4 * LARGE_BYTES).await.expect("a whole body comes")
         })
     }
 }
@@ -197,7 +203,7 @@
             commands.try_send(command).expect("it may be sent");
             thread::sleep(Duration::from_millis(50));
             let body = scene.body();
-            assert!(body.len() >= LARGE && !body.contains(&b'b'), "{streams} {late}");
+            assert!(body.len() >= LARGE_BYTES && !body.contains(&b'b'), "{streams} {late}");
             assert_eq!(scene.report(), (1, Report::Ended));
         }
     }
@@ -248,14 +254,14 @@
     let mut scene = Scene::start(true);
     let (_, commands) = scene.opened();
     // Control has no open request by now, and the caller no answer.
-    assert_eq!(scene.entry.control.open_requests(), 0);
-    assert_eq!(block_on(drain(&scene.entry, Duration::from_millis(50))), 1);
-    let Ok(Input::Message(message)) = scene.letters.recv_blocking() else {
+    assert_eq!(scene.frontend.control.open_requests(), 0);
+    assert_eq!(block_on(drain(&scene.frontend, Duration::from_millis(50))), 1);
+    let Ok(Input::Message(message)) = scene.inputs.recv_blocking() else {
         panic!("a message was expected")
     };
     assert_eq!(*message, Message::StopDeadline);
     commands.try_send(Command::Refuse(Code::NoServer, Duration::ZERO)).expect("it waits");
-    assert_eq!(block_on(drain(&scene.entry, Duration::from_secs(20))), 0);
+    assert_eq!(block_on(drain(&scene.frontend, Duration::from_secs(20))), 0);
     let mut answer = [0; 12];
     scene.caller.read_exact(&mut answer).expect("an answer comes");
     assert_eq!(&answer, b"HTTP/1.1 503");
