--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -24,10 +24,10 @@
 
 /// Bounds of an exchange with a daemon.
 const LIMITS: Limits = Limits {
-    connect: Duration::from_secs(2),
-    head: Duration::from_secs(5),
-    idle: Duration::from_secs(5),
-    body: 64 << 20,
+    connect_timeout: Duration::from_secs(2),
+    head_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(5),
+    max_body_bytes: 64 << 20,
 };
 
 /// Carries one command out; what it prints is returned.
--- a/src/clients/engine.rs
+++ b/src/clients/engine.rs
@@ -15,8 +15,11 @@
 }
 
 /// Bounds of an order: a version may take long to load.
-const ORDER_LIMITS: Limits =
-    Limits { head: Duration::from_secs(600), idle: Duration::from_secs(600), ..LIMITS };
+const ORDER_LIMITS: Limits = Limits {
+    head_timeout: Duration::from_secs(600),
+    idle_timeout: Duration::from_secs(600),
+    ..LIMITS
+};
 
 /// Gives an engine an order, as JSON; whether it was carried out.
 pub async fn order(address: SocketAddr, order: String) -> bool {
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -16,10 +16,10 @@
 
 /// Bounds of an exchange with the platform or of a poll.
 pub const LIMITS: Limits = Limits {
-    connect: Duration::from_millis(500),
-    head: Duration::from_secs(2),
-    idle: Duration::from_secs(2),
-    body: 64 << 20,
+    connect_timeout: Duration::from_millis(500),
+    head_timeout: Duration::from_secs(2),
+    idle_timeout: Duration::from_secs(2),
+    max_body_bytes: 64 << 20,
 };
 
 /// Reads what is at `path`; an error names `whom` it was asked of where that gave no 200.
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::attempt::Outcome;
 use crate::daemon::Control;
-use crate::http::server::{self, Whole};
+use crate::http::server::{self, Received};
 use crate::http::{Socket, client, header};
 use crate::manifest::Force;
 use crate::prelude::*;
@@ -46,7 +46,7 @@
 
 /// One caller's request, with what all paths need of it.
 struct Call {
-    whole: Whole,
+    whole: Received,
     force: Arc<Force>,
     workspace: String,
     hop: Hop,
@@ -121,7 +121,7 @@
         Ok(answer)
     }
 
-    async fn route(self: &Arc<Self>, whole: Whole) -> Response {
+    async fn route(self: &Arc<Self>, whole: Received) -> Response {
         let since = self.control.clock.now();
         let head = &whole.request;
         let traceparent = header::single(head.as_ref(), header::TRACEPARENT).ok().flatten();
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -208,7 +208,7 @@
         if !never || self.position > 0 {
             return Outcome::Declined(format!("the engine answered {status}"));
         }
-        match answer.whole().await {
+        match answer.read_whole().await {
             Ok((head, body)) => {
                 let status = u16::from(head.status());
                 let passed = self.pieces.send(Piece::Begin(dispatch.id.clone())).await.is_ok()
--- a/src/entry/service.rs
+++ b/src/entry/service.rs
@@ -100,7 +100,7 @@
             Err(error) => return (Outcome::Unsent(error.message()), None),
         };
         let answer = match client::send(dispatch.address, sent, self.exchange).await {
-            Ok(answer) => answer.whole().await,
+            Ok(answer) => answer.read_whole().await,
             Err(failure) => Err(failure),
         };
         match answer {
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -11,7 +11,7 @@
 use super::{Call, Entry};
 use crate::attempt::{self, Dispatch, Outcome};
 use crate::daemon::Control;
-use crate::http::server::Whole;
+use crate::http::server::Received;
 use crate::manifest::{self, Force};
 use crate::membership;
 use crate::prelude::*;
@@ -80,7 +80,7 @@
     let manifest = json!({ "format": 1, "pools": {}, "workspaces": {} }).to_string();
     let manifest = manifest::parse(manifest.as_bytes()).expect("it is sound");
     let call = Call {
-        whole: Whole {
+        whole: Received {
             request: Request::new(Method::Post, "http://localhost/services/pay/x"),
             body: b"payment".to_vec(),
             close: false,
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -63,11 +63,11 @@
 
 /// Why a body could not be read whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Cut {
+pub enum ReadError {
     /// It is longer than the limit.
     TooLarge,
     /// It ended early or its connection failed.
-    Short(String),
+    Truncated(String),
 }
 
 /// Reads a whole body of at most `limit` bytes and counts it against `framing`.
@@ -75,22 +75,25 @@
     reader: R,
     framing: Framing,
     limit: u64,
-) -> Result<Vec<u8>, Cut> {
+) -> Result<Vec<u8>, ReadError> {
     if let Framing::Length(length) = framing
         && length > limit
     {
-        return Err(Cut::TooLarge);
+        return Err(ReadError::TooLarge);
     }
     let mut body = Vec::new();
     let mut bounded = reader.take(limit + 1);
-    bounded.read_to_end(&mut body).await.map_err(|error| Cut::Short(error.to_string()))?;
+    bounded
+        .read_to_end(&mut body)
+        .await
+        .map_err(|error| ReadError::Truncated(error.to_string()))?;
     let count = body.len() as u64;
     if count > limit {
-        return Err(Cut::TooLarge);
+        return Err(ReadError::TooLarge);
     }
     match framing {
         Framing::Length(length) if length != count => {
-            Err(Cut::Short(format!("{count} of {length} bytes arrived")))
+            Err(ReadError::Truncated(format!("{count} of {length} bytes arrived")))
         }
         _ => Ok(body),
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -10,20 +10,20 @@
 use http_types::{Body, Method, Request, Response, StatusCode, Url};
 
 use super::Socket;
-use super::body::{self, Cut, Framing};
+use super::body::{self, Framing, ReadError};
 use crate::prelude::*;
 
 /// Bounds of one exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Time for the connection to be made.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time for the head of the answer to arrive.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Time that a read or write may wait.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Bytes of an answer's body.
-    pub body: u64,
+    pub max_body_bytes: u64,
 }
 
 /// How far an exchange came that failed.
@@ -59,22 +59,22 @@
     pub response: Response,
     /// How the body is delimited.
     pub framing: Framing,
-    /// Largest body that [`Answer::whole`] reads, in bytes.
+    /// Largest body that [`Answer::read_whole`] reads, in bytes.
     limit: u64,
 }
 
 impl Answer {
     /// Reads the whole body.
-    pub async fn whole(mut self) -> Result<(Response, Vec<u8>), Failure> {
+    pub async fn read_whole(mut self) -> Result<(Response, Vec<u8>), Failure> {
         let body = self.response.take_body();
         match body::read(body, self.framing, self.limit).await {
             Ok(bytes) => Ok((self.response, bytes)),
-            Err(Cut::TooLarge) => Err(Failure {
+            Err(ReadError::TooLarge) => Err(Failure {
                 stage: Stage::Sent,
                 reason: "the answer is too large".into(),
                 too_large: true,
             }),
-            Err(Cut::Short(reason)) => Err(Failure::new(Stage::Sent, reason)),
+            Err(ReadError::Truncated(reason)) => Err(Failure::new(Stage::Sent, reason)),
         }
     }
 }
@@ -95,23 +95,23 @@
     limits: Limits,
 ) -> Result<Answer, Failure> {
     let head_only = request.method() == Method::Head;
-    let socket = Socket::connect(address, limits.connect, limits.idle)
+    let socket = Socket::connect(address, limits.connect_timeout, limits.idle_timeout)
         .await
         .map_err(|error| Failure::new(Stage::Unsent, error))?;
     let exchange = async {
         async_h1::connect(socket.clone(), request).await.map_err(|error| error.to_string())
     };
     let expire = async {
-        Timer::after(limits.head).await;
+        Timer::after(limits.head_timeout).await;
         Err("no answer within the time limit".to_owned())
     };
     let response = exchange.or(expire).await.map_err(|reason| {
-        let stage = if socket.written() == 0 { Stage::Unsent } else { Stage::Sent };
+        let stage = if socket.bytes_written() == 0 { Stage::Unsent } else { Stage::Sent };
         Failure::new(stage, reason)
     })?;
     let framing = answer_framing(&response, head_only)
         .map_err(|error| Failure::new(Stage::Sent, error.detail))?;
-    Ok(Answer { response, framing, limit: limits.body })
+    Ok(Answer { response, framing, limit: limits.max_body_bytes })
 }
 
 fn answer_framing(response: &Response, head_only: bool) -> Result<Framing> {
@@ -141,6 +141,6 @@
         request.set_body(Body::from_string(json));
         request.insert_header("content-type", "application/json");
     }
-    let (response, bytes) = send(address, request, limits).await?.whole().await?;
+    let (response, bytes) = send(address, request, limits).await?.read_whole().await?;
     Ok((response.status(), bytes))
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -8,13 +8,13 @@
 use http_types::{Method, Request, Response, StatusCode};
 
 use super::Socket;
-use super::body::{self, Cut, Framing};
+use super::body::{self, Framing, ReadError};
 use crate::prelude::*;
 
 /// Largest number of request headers.
 pub const MAX_HEADERS: usize = 64;
 
-const MALFORMED: &str = concat!(
+const MALFORMED_ANSWER: &str = concat!(
     "HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-type: application/json\r\n",
     "x-cardamomvalve-execution: not-run\r\nx-cardamomvalve-code: 1001\r\ncontent-length: 112\r\n\r\n",
     "{\"error\":{\"code\":1001,\"message\":\"The request head is not well-formed.\",",
@@ -30,7 +30,7 @@
     Fut: Future<Output = http_types::Result<Response>>,
 {
     loop {
-        socket.begin();
+        socket.begin_exchange();
         let read = AtomicBool::new(false);
         let mut server = Server::new(socket.clone(), |request| {
             read.store(true, Ordering::Release);
@@ -52,15 +52,15 @@
 
 /// Answers a head that the library could not read, unless an answer has already begun.
 async fn answer_malformed(socket: &Socket) {
-    if socket.written() == 0 && socket.has_bytes() {
+    if socket.bytes_written() == 0 && socket.has_bytes() {
         let mut socket = socket.clone();
-        socket.write_all(MALFORMED.as_bytes()).await.ok();
+        socket.write_all(MALFORMED_ANSWER.as_bytes()).await.ok();
     }
 }
 
 /// A request whose body has been read whole.
 #[derive(Debug)]
-pub struct Whole {
+pub struct Received {
     /// The head.
     pub request: Request,
     /// The body.
@@ -70,18 +70,22 @@
 }
 
 /// Checks the head of `request` and reads its body of at most `limit` bytes.
-pub async fn read(mut request: Request, socket: &Socket, limit: u64) -> Result<Whole> {
+pub async fn read(mut request: Request, socket: &Socket, limit: u64) -> Result<Received> {
     check_head(&request)?;
     let framing = body::framing(request.as_ref())?;
     let body = match framing {
         Framing::Absent => Vec::new(),
-        _ => body::read(request.take_body(), framing, limit).await.map_err(|cut| match cut {
-            Cut::TooLarge => Error::new(Code::BodyTooLarge, format!("the limit is {limit} bytes")),
-            Cut::Short(reason) => Error::new(Code::BodyTruncated, reason),
-        })?,
+        _ => {
+            body::read(request.take_body(), framing, limit).await.map_err(|error| match error {
+                ReadError::TooLarge => {
+                    Error::new(Code::BodyTooLarge, format!("the limit is {limit} bytes"))
+                }
+                ReadError::Truncated(reason) => Error::new(Code::BodyTruncated, reason),
+            })?
+        }
     };
     let close = is_pipelined(socket, framing);
-    Ok(Whole { request, body, close })
+    Ok(Received { request, body, close })
 }
 
 /// Whether bytes beyond this request were read; the library would lose them. What follows a
--- a/src/http/socket.rs
+++ b/src/http/socket.rs
@@ -13,32 +13,32 @@
 use crate::prelude::*;
 
 /// Time to the next accept after one that failed, so that a full table of descriptors passes.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
 /// Finds where the head of the current exchange ends among the bytes read.
 #[derive(Debug, Default)]
-struct Scan {
-    total: u64,
-    matched: usize,
-    head: Option<u64>,
+struct Scanner {
+    bytes_read: u64,
+    matched_bytes: usize,
+    head_length: Option<u64>,
 }
 
-impl Scan {
-    fn read(&mut self, bytes: &[u8]) {
-        let before = self.total;
-        self.total += bytes.len() as u64;
-        if self.head.is_some() {
+impl Scanner {
+    fn scan(&mut self, bytes: &[u8]) {
+        let before = self.bytes_read;
+        self.bytes_read += bytes.len() as u64;
+        if self.head_length.is_some() {
             return;
         }
         for (index, byte) in bytes.iter().enumerate() {
-            self.matched = match *byte {
-                byte if byte == HEAD_END[self.matched] => self.matched + 1,
+            self.matched_bytes = match *byte {
+                byte if byte == HEAD_END[self.matched_bytes] => self.matched_bytes + 1,
                 b'\r' => 1,
                 _ => 0,
             };
-            if self.matched == HEAD_END.len() {
-                self.head = Some(before + index as u64 + 1);
+            if self.matched_bytes == HEAD_END.len() {
+                self.head_length = Some(before + index as u64 + 1);
                 return;
             }
         }
@@ -48,71 +48,74 @@
 #[derive(Debug)]
 struct Shared {
     stream: Async<TcpStream>,
-    written: AtomicU64,
-    scan: Mutex<Scan>,
+    bytes_written: AtomicU64,
+    scanner: Mutex<Scanner>,
 }
 
 /// One connection; clones share it.
 #[derive(Debug)]
 pub struct Socket {
     shared: Arc<Shared>,
-    idle: Duration,
+    idle_timeout: Duration,
     read_timer: Option<Timer>,
     write_timer: Option<Timer>,
 }
 
 impl Socket {
-    /// Wraps `stream`; a read or write that waits longer than `idle` fails.
-    pub fn new(stream: Async<TcpStream>, idle: Duration) -> Self {
+    /// Wraps `stream`; a read or write that waits longer than `idle_timeout` fails.
+    pub fn new(stream: Async<TcpStream>, idle_timeout: Duration) -> Self {
         stream.get_ref().set_nodelay(true).ok();
-        let shared =
-            Shared { stream, written: AtomicU64::new(0), scan: Mutex::new(Scan::default()) };
-        Self { shared: Arc::new(shared), idle, read_timer: None, write_timer: None }
+        let shared = Shared {
+            stream,
+            bytes_written: AtomicU64::new(0),
+            scanner: Mutex::new(Scanner::default()),
+        };
+        Self { shared: Arc::new(shared), idle_timeout, read_timer: None, write_timer: None }
     }
 
     /// Connects to `address` within `timeout`.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
-        idle: Duration,
+        idle_timeout: Duration,
     ) -> io::Result<Self> {
         let connect = Async::<TcpStream>::connect(address);
         let expire = async {
             Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        Ok(Self::new(connect.or(expire).await?, idle))
+        Ok(Self::new(connect.or(expire).await?, idle_timeout))
     }
 
     /// Bytes that the kernel has taken from this side so far.
-    pub fn written(&self) -> u64 {
-        self.shared.written.load(Ordering::Acquire)
+    pub fn bytes_written(&self) -> u64 {
+        self.shared.bytes_written.load(Ordering::Acquire)
     }
 
     /// Starts counting a new exchange.
-    pub fn begin(&self) {
-        self.shared.written.store(0, Ordering::Release);
-        if let Ok(mut scan) = self.shared.scan.lock() {
-            *scan = Scan::default();
+    pub fn begin_exchange(&self) {
+        self.shared.bytes_written.store(0, Ordering::Release);
+        if let Ok(mut scanner) = self.shared.scanner.lock() {
+            *scanner = Scanner::default();
         }
     }
 
     /// Bytes read past the head of the current exchange.
     pub fn read_past_head(&self) -> u64 {
-        let Ok(scan) = self.shared.scan.lock() else {
+        let Ok(scanner) = self.shared.scanner.lock() else {
             return 0;
         };
-        scan.head.map_or(0, |head| scan.total - head)
+        scanner.head_length.map_or(0, |length| scanner.bytes_read - length)
     }
 
     /// Whether a whole head has been read in the current exchange.
     pub fn has_head(&self) -> bool {
-        self.shared.scan.lock().is_ok_and(|scan| scan.head.is_some())
+        self.shared.scanner.lock().is_ok_and(|scanner| scanner.head_length.is_some())
     }
 
     /// Whether any byte has been read in the current exchange.
     pub fn has_bytes(&self) -> bool {
-        self.shared.scan.lock().is_ok_and(|scan| scan.total > 0)
+        self.shared.scanner.lock().is_ok_and(|scanner| scanner.bytes_read > 0)
     }
 }
 
@@ -120,20 +123,20 @@
     fn clone(&self) -> Self {
         Self {
             shared: Arc::clone(&self.shared),
-            idle: self.idle,
+            idle_timeout: self.idle_timeout,
             read_timer: None,
             write_timer: None,
         }
     }
 }
 
-/// `Pending` until `idle` has passed since the first call with an empty `timer`.
-fn expire<T>(
+/// `Pending` until `idle_timeout` has passed since the first call with an empty `timer`.
+fn poll_idle_timeout<T>(
     timer: &mut Option<Timer>,
-    idle: Duration,
+    idle_timeout: Duration,
     cx: &mut Context<'_>,
 ) -> Poll<io::Result<T>> {
-    let timer = timer.get_or_insert_with(|| Timer::after(idle));
+    let timer = timer.get_or_insert_with(|| Timer::after(idle_timeout));
     match timer.poll(cx) {
         Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
         Poll::Pending => Poll::Pending,
@@ -150,12 +153,12 @@
         match Pin::new(&mut &this.shared.stream).poll_read(cx, buf) {
             Poll::Ready(result) => {
                 this.read_timer = None;
-                if let (Ok(count), Ok(mut scan)) = (&result, this.shared.scan.lock()) {
-                    scan.read(&buf[..*count]);
+                if let (Ok(count), Ok(mut scanner)) = (&result, this.shared.scanner.lock()) {
+                    scanner.scan(&buf[..*count]);
                 }
                 Poll::Ready(result)
             }
-            Poll::Pending => expire(&mut this.read_timer, this.idle, cx),
+            Poll::Pending => poll_idle_timeout(&mut this.read_timer, this.idle_timeout, cx),
         }
     }
 }
@@ -171,11 +174,11 @@
             Poll::Ready(result) => {
                 this.write_timer = None;
                 if let Ok(count) = &result {
-                    this.shared.written.fetch_add(*count as u64, Ordering::AcqRel);
+                    this.shared.bytes_written.fetch_add(*count as u64, Ordering::AcqRel);
                 }
                 Poll::Ready(result)
             }
-            Poll::Pending => expire(&mut this.write_timer, this.idle, cx),
+            Poll::Pending => poll_idle_timeout(&mut this.write_timer, this.idle_timeout, cx),
         }
     }
 
@@ -194,7 +197,7 @@
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(_) => {
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -10,10 +10,10 @@
 use crate::prelude::*;
 
 const LIMITS: Limits = Limits {
-    connect: Duration::from_secs(5),
-    head: Duration::from_secs(30),
-    idle: Duration::from_secs(30),
-    body: 1_000,
+    connect_timeout: Duration::from_secs(5),
+    head_timeout: Duration::from_secs(30),
+    idle_timeout: Duration::from_secs(30),
+    max_body_bytes: 1_000,
 };
 
 /// A server that reads one request head and answers with `answer`.
@@ -35,7 +35,7 @@
 fn exchange(address: SocketAddr, limits: Limits) -> Result<String, client::Failure> {
     let request = client::request(Method::Get, address, "/").expect("a request");
     block_on(async {
-        let (_, body) = client::send(address, request, limits).await?.whole().await?;
+        let (_, body) = client::send(address, request, limits).await?.read_whole().await?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     })
 }
@@ -85,8 +85,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
     for limits in [
-        Limits { head: Duration::from_millis(50), ..LIMITS },
-        Limits { idle: Duration::from_millis(50), ..LIMITS },
+        Limits { head_timeout: Duration::from_millis(50), ..LIMITS },
+        Limits { idle_timeout: Duration::from_millis(50), ..LIMITS },
     ] {
         assert_eq!(exchange(address, limits).expect_err("silence").stage, Stage::Sent);
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -229,10 +229,10 @@
     /// The bounds of an exchange with a backend server.
     pub fn exchange(&self) -> crate::http::client::Limits {
         crate::http::client::Limits {
-            connect: Duration::from_millis(self.connect_ms),
-            head: Duration::from_millis(self.answer_begin_ms),
-            idle: Duration::from_millis(self.idle_ms),
-            body: self.answer_bytes,
+            connect_timeout: Duration::from_millis(self.connect_ms),
+            head_timeout: Duration::from_millis(self.answer_begin_ms),
+            idle_timeout: Duration::from_millis(self.idle_ms),
+            max_body_bytes: self.answer_bytes,
         }
     }
 }
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -21,10 +21,10 @@
 
 const SCOPE: &str = "cardamomvalve";
 const LIMITS: client::Limits = client::Limits {
-    connect: Duration::from_millis(500),
-    head: Duration::from_secs(2),
-    idle: Duration::from_secs(2),
-    body: 1 << 20,
+    connect_timeout: Duration::from_millis(500),
+    head_timeout: Duration::from_secs(2),
+    idle_timeout: Duration::from_secs(2),
+    max_body_bytes: 1 << 20,
 };
 
 /// Sends exported spans to a collector.
@@ -43,7 +43,7 @@
         }
         sent.set_body(request.body().to_vec());
         let answer = client::send(self.address, sent, LIMITS).await.map_err(|f| f.reason)?;
-        let (head, body) = answer.whole().await.map_err(|failure| failure.reason)?;
+        let (head, body) = answer.read_whole().await.map_err(|failure| failure.reason)?;
         let status = u16::from(head.status());
         Ok(Response::builder().status(status).body(Bytes::from(body))?)
     }
--- a/standin/src/call.rs
+++ b/standin/src/call.rs
@@ -11,10 +11,10 @@
 use http_types::Method;
 
 const LIMITS: Limits = Limits {
-    connect: Duration::from_secs(2),
-    head: Duration::from_secs(30),
-    idle: Duration::from_secs(30),
-    body: 64 << 20,
+    connect_timeout: Duration::from_secs(2),
+    head_timeout: Duration::from_secs(30),
+    idle_timeout: Duration::from_secs(30),
+    max_body_bytes: 64 << 20,
 };
 
 /// The command line.
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use cardamomvalve::clients;
 use cardamomvalve::entry::openai::{self, Kind};
-use cardamomvalve::http::server::{self, Whole};
+use cardamomvalve::http::server::{self, Received};
 use cardamomvalve::http::{client, header};
 use cardamomvalve::membership::Report;
 use cardamomvalve::order::{Action, Order};
@@ -159,7 +159,7 @@
 async fn answer(
     state: Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
-    whole: Whole,
+    whole: Received,
 ) -> Option<Response> {
     let path = whole.request.url().path().to_owned();
     match (whole.request.method(), path.as_str()) {
@@ -197,7 +197,7 @@
     }
 }
 
-fn report(state: &Rc<RefCell<State>>, whole: &Whole) -> Response {
+fn report(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let from: u64 = serve::query(&whole.request, "from").unwrap_or(0);
     let state = state.borrow();
     let report = Report {
@@ -238,7 +238,7 @@
     state: Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
     kind: Kind,
-    whole: &Whole,
+    whole: &Received,
 ) -> Response {
     let Ok(body) = serde_json::from_slice::<Value>(&whole.body) else {
         return declined(400, "the body is no JSON");
@@ -289,7 +289,7 @@
 }
 
 /// Carries an order out, unless its fencing number is old and this engine checks it.
-async fn obey(state: &Rc<RefCell<State>>, whole: &Whole) -> Response {
+async fn obey(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let Ok(order) = serde_json::from_slice::<Order>(&whole.body) else { return server::empty(400) };
     {
         let mut state = state.borrow_mut();
@@ -323,7 +323,7 @@
 }
 
 /// How many of the leading blocks this engine holds, if it is the incarnation that is meant.
-fn export(state: &Rc<RefCell<State>>, whole: &Whole) -> Response {
+fn export(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let state = state.borrow();
     let held = match serde_json::from_slice::<Export>(&whole.body) {
         Ok(ask) if ask.incarnation == state.incarnation => {
@@ -389,7 +389,7 @@
 fn respond(
     state: &Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
-    whole: &Whole,
+    whole: &Received,
     generation: Generation,
     faults: &Faults,
     weights: &str,
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -19,10 +19,10 @@
 use crate::engine::answer_text;
 
 const LIMITS: Limits = Limits {
-    connect: Duration::from_secs(2),
-    head: Duration::from_secs(60),
-    idle: Duration::from_secs(60),
-    body: 16 << 20,
+    connect_timeout: Duration::from_secs(2),
+    head_timeout: Duration::from_secs(60),
+    idle_timeout: Duration::from_secs(60),
+    max_body_bytes: 16 << 20,
 };
 /// Times that one request is asked again after a refusal that says "not run".
 const MAX_ASKS: u32 = 20;
@@ -257,7 +257,7 @@
     match seconds {
         Some(seconds) => Ask::Again(Duration::from_secs(seconds)),
         None => {
-            let body = answer.whole().await.map(|(_, body)| body).unwrap_or_default();
+            let body = answer.read_whole().await.map(|(_, body)| body).unwrap_or_default();
             Ask::Failed(String::from_utf8_lossy(&body).into_owned())
         }
     }
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use cardamomvalve::clients::log::{Landed, Line, Page};
-use cardamomvalve::http::server::{self, Whole};
+use cardamomvalve::http::server::{self, Received};
 use clap::Parser;
 use http_types::{Method, Response};
 use serde::{Deserialize, Serialize};
@@ -115,7 +115,7 @@
     serve::run("standin-log", options.listen, move |_, whole| answer(Rc::clone(&state), whole))
 }
 
-async fn answer(state: Rc<RefCell<State>>, whole: Whole) -> Option<Response> {
+async fn answer(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
     let path = whole.request.url().path().to_owned();
     if path == "/faults" {
         let faults = serde_json::from_slice(&whole.body).unwrap_or_default();
@@ -139,7 +139,7 @@
 async fn append(
     state: &Rc<RefCell<State>>,
     name: &str,
-    whole: Whole,
+    whole: Received,
     mode: Mode,
 ) -> Option<Response> {
     let text = String::from_utf8(whole.body).ok()?;
@@ -163,7 +163,7 @@
     }
 }
 
-async fn read(state: &Rc<RefCell<State>>, name: &str, whole: &Whole) -> Response {
+async fn read(state: &Rc<RefCell<State>>, name: &str, whole: &Received) -> Response {
     let from: u64 = serve::query(&whole.request, "from").unwrap_or(0);
     let limit: usize = serve::query(&whole.request, "limit").unwrap_or(MAX_RECORDS);
     let wait_ms: u64 = serve::query(&whole.request, "wait_ms").unwrap_or(0);
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -8,7 +8,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, block_on};
-use cardamomvalve::http::server::{self, Whole};
+use cardamomvalve::http::server::{self, Received};
 use cardamomvalve::http::{Socket, header};
 use http_types::{Request, Response};
 
@@ -22,7 +22,7 @@
 /// `handle` answers each request; `None` closes the connection without an answer.
 pub fn run<F, Fut>(name: &str, address: SocketAddr, handle: F) -> eyre::Result<()>
 where
-    F: Fn(Rc<LocalExecutor<'static>>, Whole) -> Fut + 'static,
+    F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut + 'static,
     Fut: Future<Output = Option<Response>> + 'static,
 {
     let listener = Async::<TcpListener>::bind(address)?;
@@ -53,7 +53,7 @@
     socket: Socket,
 ) -> http_types::Result<Response>
 where
-    F: Fn(Rc<LocalExecutor<'static>>, Whole) -> Fut,
+    F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut,
     Fut: Future<Output = Option<Response>>,
 {
     let whole = match server::read(request, &socket, MAX_BODY).await {
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use cardamomvalve::http::server::{self, Whole};
+use cardamomvalve::http::server::{self, Received};
 use clap::Parser;
 use http_types::{Method, Response};
 use serde::{Deserialize, Serialize};
@@ -57,7 +57,7 @@
     serve::run("standin-service", options.listen, move |_, whole| answer(Rc::clone(&state), whole))
 }
 
-async fn answer(state: Rc<RefCell<State>>, whole: Whole) -> Option<Response> {
+async fn answer(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
     let path = whole.request.url().path().to_owned();
     match (whole.request.method(), path.as_str()) {
         (Method::Put, "/faults") => {
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use cardamomvalve::clients::vms::List;
-use cardamomvalve::http::server::{self, Whole};
+use cardamomvalve::http::server::{self, Received};
 use clap::Parser;
 use http_types::{Method, Response};
 
@@ -36,7 +36,7 @@
     })
 }
 
-fn answer(state: &Rc<RefCell<State>>, whole: &Whole) -> Response {
+fn answer(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let mut state = state.borrow_mut();
     match (whole.request.method(), whole.request.url().path()) {
         (Method::Put, "/down") => {
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -23,10 +23,10 @@
 /// Longest wait for a condition.
 const PATIENCE: Duration = Duration::from_secs(60);
 const LIMITS: Limits = Limits {
-    connect: Duration::from_secs(5),
-    head: Duration::from_secs(60),
-    idle: Duration::from_secs(60),
-    body: 64 << 20,
+    connect_timeout: Duration::from_secs(5),
+    head_timeout: Duration::from_secs(60),
+    idle_timeout: Duration::from_secs(60),
+    max_body_bytes: 64 << 20,
 };
 const ZONES: [&str; 3] = ["catania", "palermo", "siracusa"];
 
@@ -159,7 +159,7 @@
     }
     block_on(async {
         let answer = client::send(address, request, LIMITS).await.map_err(|f| f.reason)?;
-        let (head, body) = answer.whole().await.map_err(|failure| failure.reason)?;
+        let (head, body) = answer.read_whole().await.map_err(|failure| failure.reason)?;
         let headers =
             head.iter().map(|(name, values)| (name.to_string(), values.last().to_string()));
         Ok(Answer {
