--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 
 use super::answer::{encode_answer, encode_error};
-use super::passage::{Delivery, Outcome, Progress};
+use super::delivery::{Delivery, Outcome, Progress};
 use super::{Conn, Cut, Dialect, Fields, Metadata, Pool, Request};
 use crate::fleet::Control;
 use crate::prelude::*;
@@ -216,15 +216,15 @@
         Timer::after(limit).await;
         delivery.on_timeout()
     };
-    let end = delivery.run(&writer).or(disconnect).or(expire).await;
+    let outcome = delivery.run(&writer).or(disconnect).or(expire).await;
     if let Some(first) = delivery.progress.first_byte() {
         let waited = first.saturating_sub(summary.started);
         let priority = delivery.route.priority.to_string();
         frontend.metrics.first_token(&summary.route, priority, waited);
     }
     drop(delivery);
-    summary.record(&end);
-    match end {
+    summary.record(&outcome);
+    match outcome {
         Outcome::Answered => !frontend.control.is_draining(),
         Outcome::Truncated | Outcome::Disconnected => false,
         Outcome::Code(code, retry_after) => {
@@ -259,23 +259,23 @@
         Self { frontend, id, started, table_version: 0, route, workspace, limit: Duration::ZERO }
     }
 
-    fn record(&self, end: &Outcome) {
-        let (outcome, code, after) = match end {
+    fn record(&self, outcome: &Outcome) {
+        let (name, code, retry_after) = match outcome {
             Outcome::Answered => ("answered", None, None),
             Outcome::Truncated => ("cut", None, None),
             Outcome::Disconnected => ("caller-left", None, None),
             Outcome::ServerFailure(_) => ("server-failure", None, None),
-            Outcome::Code(code, after) => (code.row().name, Some(*code), *after),
+            Outcome::Code(code, retry_after) => (code.row().name, Some(*code), *retry_after),
         };
         let number = code.map_or(0, |code| code.row().number);
         self.frontend.metrics.answered(&self.workspace, &self.route, number);
         let detail = Detail::of("request", self.id.as_str())
             .and("route", self.route.as_str())
             .and("workspace", self.workspace.as_str())
-            .and("outcome", outcome)
+            .and("outcome", name)
             .and_some("code", code.map(|code| u32::from(code.row().number)))
             .and_some("execution", code.map(|code| code.row().execution.as_str()))
-            .and_some("retry_after_ms", after)
+            .and_some("retry_after_ms", retry_after)
             .and("total_ms", self.frontend.control.clock.now().saturating_sub(self.started))
             .and("limit_ms", self.limit)
             .and("table", self.table_version);
--- a/src/relay/passage.rs
+++ b/src/relay/delivery.rs
@@ -128,9 +128,9 @@
             let superseded = self.superseded(&commands, &mut next);
             let attempt = self.attempt(writer, &dispatch, &mut events).or(superseded).await;
             let report = match attempt {
-                Attempt::Ended(end) => {
+                Attempt::Ended(outcome) => {
                     self.send_report(&dispatch, Report::Ended);
-                    return end;
+                    return outcome;
                 }
                 Attempt::CallerDisconnected => return Outcome::Disconnected,
                 Attempt::Superseded => continue,
@@ -164,7 +164,7 @@
     }
 
     fn fingerprint(&self) -> Fingerprint {
-        let workspace = self.workspace.as_ref().map_or("", |owner| owner.name.as_str());
+        let workspace = self.workspace.as_ref().map_or("", |workspace| workspace.name.as_str());
         Fingerprint::of(workspace, &self.request.method, &self.request.target, self.body)
     }
 
@@ -225,8 +225,8 @@
         };
         match self.frontend.dialect.classify(&self.metadata, &answer.response) {
             Classification::Invalid => Attempt::Unanswered(Report::Lost(Loss::InvalidAnswer)),
-            Classification::Refused(refused) => {
-                self.finish_refused(dispatch, answer, refused).await
+            Classification::Refused(refusal) => {
+                self.finish_refused(dispatch, answer, refusal).await
             }
             Classification::Answer(weights)
                 if self.route.streams && answer.response.status == 200 =>
@@ -243,12 +243,12 @@
         &self,
         dispatch: &Dispatch,
         mut answer: Answer,
-        refused: Refusal,
+        refusal: Refusal,
     ) -> Attempt {
         if answer.read_whole(MAX_ANSWER_BYTES).await.is_ok() {
             answer.release(&self.frontend.pool, dispatch.max_idle);
         }
-        Attempt::Unanswered(Report::Refused(refused))
+        Attempt::Unanswered(Report::Refused(refusal))
     }
 
     /// Reads an answer whole and passes it on; one that is cut short is not passed on at all.
@@ -288,7 +288,7 @@
         events: &mut Events,
     ) -> Attempt {
         events.discard_partial();
-        let mut begun = false;
+        let mut started = false;
         let mut bytes = Vec::new();
         loop {
             bytes.clear();
@@ -300,8 +300,8 @@
             if !more || answer.decoder.is_complete() {
                 whole.extend_from_slice(&events.take_partial());
             }
-            if !begun && !whole.is_empty() {
-                begun = true;
+            if !started && !whole.is_empty() {
+                started = true;
                 self.send_report(dispatch, Report::Begun(weights));
             }
             let complete = !more || answer.decoder.is_complete();
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -1,6 +1,6 @@
 //! Heads, bodies and events, whole and cut anywhere.
 
-mod passage;
+mod delivery;
 
 use super::*;
 
@@ -106,7 +106,7 @@
 }
 
 /// Feeds `wire` in pieces that end at `cuts`; returns what was decoded and what was left over.
-fn in_pieces(framing: Framing, wire: &[u8], cuts: &[usize]) -> (Vec<u8>, Vec<u8>, bool) {
+fn decode_in_pieces(framing: Framing, wire: &[u8], cuts: &[usize]) -> (Vec<u8>, Vec<u8>, bool) {
     let mut decoder = Decoder::new(framing);
     let (mut output, mut ahead) = (Vec::new(), Vec::new());
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (wire.len() + 1)).collect();
@@ -131,14 +131,14 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\n\r\nnext");
-        let (output, rest, complete) = in_pieces(Framing::Chunked, &wire, &cuts);
+        let (output, rest, complete) = decode_in_pieces(Framing::Chunked, &wire, &cuts);
         output == chunks.concat() && rest == b"next" && complete
     }
 
     fn decode_length_in_any_pieces(body: Vec<u8>, cuts: Vec<usize>) -> bool {
         let wire = [body.as_slice(), b"next"].concat();
         let framing = Framing::Length(body.len() as u64);
-        let (output, rest, complete) = in_pieces(framing, &wire, &cuts);
+        let (output, rest, complete) = decode_in_pieces(framing, &wire, &cuts);
         output == body && rest == b"next" && complete
     }
 
@@ -150,7 +150,7 @@
         request.is_err() || response.is_err() || chunks.is_err() || bytes.len() < usize::MAX
     }
 
-    fn take_events_in_any_pieces(count: u8, cuts: Vec<usize>) -> bool {
+    fn feed_events_in_any_pieces(count: u8, cuts: Vec<usize>) -> bool {
         let wire: String =
             (1..=count).map(|id| format!("id: {id}\r\ndata: {id}\r\n\r\n")).collect();
         let wire = wire.into_bytes();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn take_resumed_stream_drops_what_was_passed_on() {
+fn feed_resumed_stream_drops_repeated_events() {
     let mut events = Events::default();
     assert_eq!(events.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
     // The server broke off within the second event; another one goes on after the first.
@@ -218,7 +218,7 @@
 /// 07.400 400 AttemptFailed r-4 it could not be connected to server=x-1
 /// ```
 #[test]
-fn probe_that_is_reset_by_a_server_that_ends_is_taken_again() {
+fn probe_reset_by_stopping_server_is_not_silent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("it is bound");
     let mut probe = Box::pin(probe(address));
--- a/src/relay/tests/passage.rs
+++ b/src/relay/tests/delivery.rs
@@ -17,9 +17,9 @@
 const LARGE_BYTES: usize = 6 << 20;
 
 /// Header fields of no platform.
-struct Bare;
+struct PlainDialect;
 
-impl Dialect for Bare {
+impl Dialect for PlainDialect {
     fn metadata(&self, _: &Request) -> Result<Metadata, Malformed> {
         Ok(Metadata {
             id: "r-1".into(),
@@ -120,20 +120,20 @@
     })
 }
 
-fn large_answer(streams: bool, letter: char) -> Vec<u8> {
-    let piece = letter.to_string().repeat(LARGE_BYTES);
+fn large_answer(streams: bool, character: char) -> Vec<u8> {
+    let piece = character.to_string().repeat(LARGE_BYTES);
     let body = if streams { format!("id: 1\ndata: {piece}\n\n") } else { piece };
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 /// A caller's connection, and the control thread's side of it.
-struct Scene {
+struct Fixture {
     frontend: Arc<Frontend>,
     caller: TcpStream,
     inputs: Receiver<Input>,
 }
 
-impl Scene {
+impl Fixture {
     fn start(streams: bool) -> Self {
         let (control, inputs) = Control::new();
         control.set_table(table(streams));
@@ -141,28 +141,29 @@
         let caller = TcpStream::connect(listener.local_addr().expect("it is bound"));
         let mut caller = caller.expect("it listens");
         let (stream, _) = listener.accept().expect("it connects");
-        let (closer, closing) = async_channel::bounded(1);
+        let (shutdown_sender, shutdown) = async_channel::bounded(1);
         let metrics = Arc::new(Metrics::new().expect("instruments can be made"));
-        let frontend = Frontend::new(Arc::new(Bare), control, Arc::default(), metrics, closing);
+        let frontend =
+            Frontend::new(Arc::new(PlainDialect), control, Arc::default(), metrics, shutdown);
         let frontend = Arc::new(frontend);
         let serving = Arc::clone(&frontend);
         thread::spawn(move || {
             let stream = Async::new(stream).expect("it can be waited for");
             block_on(serve(serving, stream));
-            drop(closer);
+            drop(shutdown_sender);
         });
         caller.write_all(b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n").expect("it is read");
         Self { frontend, caller, inputs }
     }
 
-    fn opened(&self) -> (Box<Arrival>, Sender<Command>) {
+    fn receive_arrival(&self) -> (Box<Arrival>, Sender<Command>) {
         match self.inputs.recv_blocking() {
             Ok(Input::Open(arrival, commands)) => (arrival, commands),
             other => panic!("a request was expected: {other:?}"),
         }
     }
 
-    fn report(&self) -> (u32, Report) {
+    fn receive_report(&self) -> (u32, Report) {
         match self.inputs.recv_blocking() {
             Ok(Input::Message(message)) => match *message {
                 Message::Report { attempt, report, .. } => (attempt, report),
@@ -173,7 +174,7 @@
     }
 
     /// Waits until bytes of an answer have reached the caller, who has read none of them.
-    fn answer_begins(&self) {
+    fn wait_for_answer(&self) {
         let mut byte = [0];
         assert_eq!(self.caller.peek(&mut byte).expect("it is open"), 1);
     }
@@ -189,29 +190,29 @@
 }
 
 #[test]
-fn command_while_an_answer_is_being_written_does_not_break_it_off() {
+fn run_command_during_answer_write_does_not_interrupt_it() {
     for streams in [true, false] {
         for late in [false, true] {
-            let mut scene = Scene::start(streams);
+            let mut fixture = Fixture::start(streams);
             let first = serve_once(large_answer(streams, 'a'));
             let second = serve_once(large_answer(streams, 'b'));
-            let (_, commands) = scene.opened();
+            let (_, commands) = fixture.receive_arrival();
             commands.try_send(dispatch(1, first)).expect("it waits");
-            assert_eq!(scene.report(), (1, Report::Begun(None)));
-            scene.answer_begins();
+            assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
+            fixture.wait_for_answer();
             let command = if late { Command::GiveUp } else { dispatch(2, second) };
             commands.try_send(command).expect("it may be sent");
             thread::sleep(Duration::from_millis(50));
-            let body = scene.body();
+            let body = fixture.body();
             assert!(body.len() >= LARGE_BYTES && !body.contains(&b'b'), "{streams} {late}");
-            assert_eq!(scene.report(), (1, Report::Ended));
+            assert_eq!(fixture.receive_report(), (1, Report::Ended));
         }
     }
 }
 
 #[test]
-fn command_kept_aside_counts_once_the_attempt_fails() {
-    let mut scene = Scene::start(true);
+fn run_deferred_command_applies_after_attempt_fails() {
+    let mut fixture = Fixture::start(true);
     let mut cut = large_answer(true, 'a');
     let length = cut.len() - cut.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") - 4;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", length + 100);
@@ -220,49 +221,49 @@
     let rest = "id: 2\ndata: b\n\n";
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{rest}", rest.len());
     let second = serve_once(whole.into_bytes());
-    let (_, commands) = scene.opened();
+    let (_, commands) = fixture.receive_arrival();
     commands.try_send(dispatch(1, first)).expect("it waits");
-    assert_eq!(scene.report(), (1, Report::Begun(None)));
-    scene.answer_begins();
+    assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
+    fixture.wait_for_answer();
     commands.try_send(dispatch(2, second)).expect("it may be sent");
-    let body = scene.body();
+    let body = fixture.body();
     assert!(body.len() == length + rest.len() && body.ends_with(rest.as_bytes()));
-    assert_eq!(scene.report(), (1, Report::Lost(Loss::Connection)));
-    assert_eq!(scene.report(), (2, Report::Begun(None)));
-    assert_eq!(scene.report(), (2, Report::Ended));
+    assert_eq!(fixture.receive_report(), (1, Report::Lost(Loss::Connection)));
+    assert_eq!(fixture.receive_report(), (2, Report::Begun(None)));
+    assert_eq!(fixture.receive_report(), (2, Report::Ended));
 }
 
 #[test]
-fn stream_cut_at_any_byte_goes_on_without_gap_or_repeat() {
+fn relay_stream_cut_at_any_byte_resumes_without_gap_or_repeat() {
     let events = ["id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n", "id: 3\ndata: c\n\n"];
     let whole = events.concat();
     let second = serve_stream(&events);
     for cut in 0..whole.len() {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
         let first = serve_once(format!("{head}{}", &whole[..cut]).into_bytes());
-        let mut scene = Scene::start(true);
-        let (_, commands) = scene.opened();
+        let mut fixture = Fixture::start(true);
+        let (_, commands) = fixture.receive_arrival();
         commands.try_send(dispatch(1, first)).expect("it waits");
-        while scene.report() != (1, Report::Lost(Loss::Connection)) {}
+        while fixture.receive_report() != (1, Report::Lost(Loss::Connection)) {}
         commands.try_send(dispatch(2, second)).expect("it waits");
-        assert_eq!(String::from_utf8_lossy(&scene.body()), whole, "cut after {cut} bytes");
+        assert_eq!(String::from_utf8_lossy(&fixture.body()), whole, "cut after {cut} bytes");
     }
 }
 
 #[test]
-fn stop_waits_until_what_control_has_refused_is_answered() {
-    let mut scene = Scene::start(true);
-    let (_, commands) = scene.opened();
+fn drain_waits_for_answers_to_refused_requests() {
+    let mut fixture = Fixture::start(true);
+    let (_, commands) = fixture.receive_arrival();
     // Control has no open request by now, and the caller no answer.
-    assert_eq!(scene.frontend.control.open_requests(), 0);
-    assert_eq!(block_on(drain(&scene.frontend, Duration::from_millis(50))), 1);
-    let Ok(Input::Message(message)) = scene.inputs.recv_blocking() else {
+    assert_eq!(fixture.frontend.control.open_requests(), 0);
+    assert_eq!(block_on(drain(&fixture.frontend, Duration::from_millis(50))), 1);
+    let Ok(Input::Message(message)) = fixture.inputs.recv_blocking() else {
         panic!("a message was expected")
     };
     assert_eq!(*message, Message::StopDeadline);
     commands.try_send(Command::Refuse(Code::NoServer, Duration::ZERO)).expect("it waits");
-    assert_eq!(block_on(drain(&scene.frontend, Duration::from_secs(20))), 0);
+    assert_eq!(block_on(drain(&fixture.frontend, Duration::from_secs(20))), 0);
     let mut answer = [0; 12];
-    scene.caller.read_exact(&mut answer).expect("an answer comes");
+    fixture.caller.read_exact(&mut answer).expect("an answer comes");
     assert_eq!(&answer, b"HTTP/1.1 503");
 }
