--- a/src/relay/conn.rs
+++ b/src/relay/conn.rs
@@ -71,11 +71,11 @@
         Self { stream: Arc::new(stream), read_ahead: Vec::new() }
     }
 
-    /// Connects to `address` within `limit`.
-    pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
+    /// Connects to `address` within `timeout`.
+    pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let connect = Async::<TcpStream>::connect(address);
         let expire = async {
-            Timer::after(limit).await;
+            Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         Ok(Self::new(connect.or(expire).await?))
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -50,9 +50,9 @@
     /// Keeps a connection whose exchange has ended, and `max_idle` idle ones to its address; `fields` are
     /// those of its answer.
     pub fn put(&self, address: SocketAddr, conn: Conn, fields: &Fields, max_idle: usize) {
-        let keep = stated_keep_alive(fields)
+        let keep_alive = stated_keep_alive(fields)
             .map_or(DEFAULT_KEEP_ALIVE, |stated| stated.saturating_sub(KEEP_ALIVE_MARGIN));
-        if max_idle == 0 || keep.is_zero() || conn.has_unexpected_input() {
+        if max_idle == 0 || keep_alive.is_zero() || conn.has_unexpected_input() {
             return;
         }
         let now = Instant::now();
@@ -61,7 +61,7 @@
         kept.retain(|idle| idle.expires_at > now);
         let surplus = (kept.len() + 1).saturating_sub(max_idle);
         kept.drain(..surplus);
-        kept.push(Idle { conn, expires_at: now + keep });
+        kept.push(Idle { conn, expires_at: now + keep_alive });
     }
 }
 
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -108,18 +108,18 @@
 /// Feeds `wire` in pieces that end at `cuts`; returns what was decoded and what was left over.
 fn decode_in_pieces(framing: Framing, wire: &[u8], cuts: &[usize]) -> (Vec<u8>, Vec<u8>, bool) {
     let mut decoder = Decoder::new(framing);
-    let (mut output, mut ahead) = (Vec::new(), Vec::new());
+    let (mut output, mut remaining) = (Vec::new(), Vec::new());
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (wire.len() + 1)).collect();
     ends.push(wire.len());
     ends.sort_unstable();
     let mut start = 0;
     for end in ends {
-        ahead.extend_from_slice(&wire[start..end]);
+        remaining.extend_from_slice(&wire[start..end]);
         start = end;
-        let used = decoder.decode(&ahead, &mut output).expect("well-formed");
-        ahead.drain(..used);
+        let used = decoder.decode(&remaining, &mut output).expect("well-formed");
+        remaining.drain(..used);
     }
-    (output, ahead, decoder.is_complete())
+    (output, remaining, decoder.is_complete())
 }
 
 quickcheck::quickcheck! {
