--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, encoded.
+//! Encoding of answers to callers.
 
 use super::{Fields, Response, head};
 use crate::prelude::*;
@@ -34,7 +34,7 @@
     answer
 }
 
-/// An answer that this router makes itself.
+/// Encodes an error answer from this router.
 pub(super) fn encode_error(
     error: &Error,
     retry_after: Option<Duration>,
--- a/src/relay/body.rs
+++ b/src/relay/body.rs
@@ -1,70 +1,73 @@
-//! Bodies: how they are delimited, and their bytes freed of it.
+//! Framing and decoding of message bodies.
 
 use super::{Fields, Malformed};
 
-/// Bytes that a line of chunked framing may have.
+/// Maximum length of a line of chunked framing.
 const MAX_CHUNK_LINE_BYTES: usize = 1_024;
 
-/// How a body is delimited.
+/// Framing of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length in bytes.
+    /// Delimited by its length in bytes.
     Length(u64),
-    /// By chunks.
+    /// Encoded in chunks.
     Chunked,
-    /// By the end of the connection.
+    /// Delimited by the end of the connection.
     UntilClose,
 }
 
 impl Framing {
-    /// The framing of a request with these fields.
+    /// Returns the framing of a request with these fields.
     pub fn of_request(fields: &Fields) -> Result<Self, Malformed> {
         Ok(declared_framing(fields)?.unwrap_or(Self::Length(0)))
     }
 
-    /// The framing of an answer with these fields.
+    /// Returns the framing of an answer with these fields.
     pub fn of_response(fields: &Fields) -> Result<Self, Malformed> {
         Ok(declared_framing(fields)?.unwrap_or(Self::UntilClose))
     }
 }
 
-/// The framing that the fields declare. Contradictions are errors, since another reader could
-/// resolve them otherwise and see another request in the body.
+/// Returns the framing that the fields declare. Contradictions are errors: another reader could
+/// resolve them differently and parse a second request out of the body.
 fn declared_framing(fields: &Fields) -> Result<Option<Framing>, Malformed> {
     let mut lengths = fields.all("content-length");
     let mut codings = fields.all("transfer-encoding");
     let (length, coding) = (lengths.next(), codings.next());
     if lengths.next().is_some() || codings.next().is_some() {
-        return Err(Malformed("the length is declared twice".into()));
+        return Err(Malformed("Content-Length or Transfer-Encoding is repeated".into()));
     }
     match (length, coding) {
-        (Some(_), Some(_)) => Err(Malformed("both length and transfer coding are given".into())),
+        (Some(_), Some(_)) => {
+            Err(Malformed("both Content-Length and Transfer-Encoding are present".into()))
+        }
         (None, None) => Ok(None),
         (None, Some(coding)) if coding.trim().eq_ignore_ascii_case("chunked") => {
             Ok(Some(Framing::Chunked))
         }
-        (None, Some(_)) => Err(Malformed("only the transfer coding chunked is taken".into())),
+        (None, Some(_)) => Err(Malformed("the only supported transfer coding is chunked".into())),
         (Some(length), None) => {
             let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
             let length = length.parse().ok().filter(|_| digits);
-            let length = length.ok_or_else(|| Malformed("Content-Length is no number".into()))?;
+            let length =
+                length.ok_or_else(|| Malformed("Content-Length is not a number".into()))?;
             Ok(Some(Framing::Length(length)))
         }
     }
 }
 
-/// Where a decoder stands in a body.
+/// State of a decoder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// So many bytes of a body with a length are missing.
+    /// This many bytes of a body with a declared length remain.
     Length(u64),
-    /// The line with a chunk's size comes next.
+    /// The line with a chunk's size is next.
     ChunkSize,
-    /// So many bytes of a chunk are missing.
+    /// This many bytes of a chunk remain.
     ChunkData(u64),
-    /// The line break after a chunk comes next.
+    /// The line break after a chunk is next.
     ChunkEnd,
-    /// Trailer lines come next.
+    /// Trailer lines are next.
     Trailer,
     /// The body ends with its connection.
     UntilClose,
@@ -72,12 +75,12 @@
     Complete,
 }
 
-/// Frees a body's bytes of their framing, as they come.
+/// Incremental decoder that removes a body's framing.
 #[derive(Debug)]
 pub struct Decoder(State);
 
 impl Decoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::Length(0) => State::Complete,
@@ -87,18 +90,18 @@
         })
     }
 
-    /// Whether the body is complete.
+    /// Returns whether the body is complete.
     pub fn is_complete(&self) -> bool {
         self.0 == State::Complete
     }
 
-    /// Whether the end of the connection completes the body.
+    /// Returns whether the end of the connection completes the body.
     pub fn completes_on_close(&self) -> bool {
         self.0 == State::UntilClose
     }
 
-    /// Moves the body's bytes from the front of `input` to `output`; returns how many bytes of
-    /// `input` were used. What follows a complete body is left.
+    /// Appends decoded bytes from the front of `input` to `output`. Returns the number of bytes of
+    /// `input` that were consumed; bytes after a complete body are not.
     ///
     /// ```
     /// use cardamomvalve::relay::{Decoder, Framing};
@@ -147,20 +150,24 @@
         count
     }
 
-    /// Takes one line of chunked framing; returns its length, 0 while it is incomplete.
+    /// Decodes one line of chunked framing. Returns its length, or 0 if it is incomplete.
     fn decode_line(&mut self, input: &[u8]) -> Result<usize, Malformed> {
         let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
             let long = input.len() > MAX_CHUNK_LINE_BYTES;
-            return if long { Err(Malformed("a chunk line is too long".into())) } else { Ok(0) };
+            return if long {
+                Err(Malformed("a line of chunked framing is too long".into()))
+            } else {
+                Ok(0)
+            };
         };
         self.0 = match self.0 {
             State::ChunkSize => match httparse::parse_chunk_size(&input[..end + 2]) {
                 Ok(httparse::Status::Complete((_, 0))) => State::Trailer,
                 Ok(httparse::Status::Complete((_, size))) => State::ChunkData(size),
-                _ => return Err(Malformed("a chunk's size is not well-formed".into())),
+                _ => return Err(Malformed("a chunk size is malformed".into())),
             },
             State::ChunkEnd if end == 0 => State::ChunkSize,
-            State::ChunkEnd => return Err(Malformed("a chunk is longer than its size".into())),
+            State::ChunkEnd => return Err(Malformed("a chunk exceeds its size".into())),
             State::Trailer if end == 0 => State::Complete,
             state => state,
         };
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: its requests are read, passed on and answered in turn.
+//! A caller's connection: reads, forwards and answers its requests one after another.
 
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,25 +16,25 @@
 use crate::telemetry::emit;
 use crate::telemetry::metrics::Metrics;
 
-/// Time for the body of a request to arrive, once its head has.
+/// Timeout for the body of a request after its head has arrived.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after which a caller may come back that found no configuration here yet.
+/// Retry-after time for a caller while this daemon has no manifest.
 const NO_MANIFEST_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What all callers' connections share.
+/// State that all caller connections share.
 pub struct Frontend {
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) control: Control,
     pub(super) pool: Arc<Pool>,
     metrics: Arc<Metrics>,
-    /// Closed once idle connections are to be closed.
+    /// Closed as the signal to close idle connections.
     shutdown: Receiver<()>,
-    /// Requests of which a byte was read and that have no whole answer yet.
+    /// Number of requests of which a byte was read and that have no complete answer yet.
     unanswered: AtomicUsize,
 }
 
 impl Frontend {
-    /// A frontend; once `shutdown` is closed, idle connections are closed.
+    /// Creates a frontend that closes its idle connections when `shutdown` is closed.
     pub fn new(
         dialect: Arc<dyn Dialect>,
         control: Control,
@@ -46,8 +46,9 @@
         Self { dialect, control, pool, metrics, shutdown, unanswered }
     }
 
-    /// Requests of which a byte was read and whose answer has not gone out: control forgets a request
-    /// when it tells what to answer, so only this says whether the process may end.
+    /// Returns the number of requests of which a byte was read and whose answer was not sent. Only
+    /// this count shows whether the process may stop: the control thread drops a request as soon as
+    /// it decides on the answer.
     pub fn unanswered(&self) -> usize {
         self.unanswered.load(Ordering::Acquire)
     }
@@ -100,7 +101,7 @@
     }
 }
 
-/// Waits for the first byte of a request; false where the connection is to be closed.
+/// Waits for the first byte of a request. Returns false if the connection should be closed.
 async fn wait_for_request(frontend: &Frontend, conn: &mut Conn, limits: Limits) -> bool {
     let idle = async {
         Timer::after(limits.idle).await;
@@ -113,7 +114,7 @@
     conn.wait_for_data().or(idle).or(shutdown).await
 }
 
-/// Reads a whole request; on failure the code to answer with, where one is due.
+/// Reads a complete request. On failure, returns the code to answer with, if an answer is possible.
 async fn read_request(conn: &mut Conn, limits: Limits) -> Result<(Request, Vec<u8>), Option<Code>> {
     let expire = async {
         Timer::after(limits.head_time).await;
@@ -147,7 +148,7 @@
     }
 }
 
-/// Passes a request on and answers it; whether the connection may be kept.
+/// Forwards a request and answers it. Returns whether the connection can be reused.
 async fn forward_request(
     frontend: &Frontend,
     conn: &mut Conn,
@@ -238,16 +239,16 @@
     }
 }
 
-/// What is logged and counted of a request's end.
+/// Summary of a finished request for the log and the metrics.
 struct Summary<'a> {
     frontend: &'a Frontend,
     id: String,
     started: Time,
-    /// The configuration's version; 0 where there is none.
+    /// The routing table's version; 0 if there is none.
     table_version: u64,
     route: String,
     workspace: String,
-    /// The time that the request has at most; zero where it has no route.
+    /// The request's time limit; zero if it has no route.
     limit: Duration,
 }
 
--- a/src/relay/conn.rs
+++ b/src/relay/conn.rs
@@ -1,4 +1,4 @@
-//! One TCP connection with the bytes that were read ahead.
+//! A TCP connection with a read-ahead buffer.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -11,30 +11,30 @@
 
 use super::{Decoder, Framing, Malformed, Request, Response};
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes of the head of a backend server's answer.
+/// Maximum size of the head of a backend server's answer.
 const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
-/// Bytes that a caller may send ahead while its answer is awaited.
+/// Maximum number of bytes buffered from a caller that waits for its answer.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// Silence after which the kernel asks whether the other end is there, in whole seconds.
+/// Idle time before the first TCP keep-alive probe and interval between probes, in whole seconds.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Unanswered questions after which a connection fails, a second apart.
+/// Number of unanswered keep-alive probes after which a connection fails.
 const KEEPALIVE_PROBES: u32 = 3;
-/// Milliseconds for which sent bytes may stay unacknowledged: several retransmissions on a lossy
-/// link, and well under the time that a caller waits.
+/// Time that sent bytes may stay unacknowledged. Allows several retransmissions on a lossy link and
+/// is well below the time that a caller waits.
 const USER_TIMEOUT_MS: u32 = 2_000;
 
-/// Why a message could not be read to its end.
+/// Error in reading a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Cut {
     /// The connection ended before the first byte of a message.
     Closed,
     /// The connection ended or failed within a message.
     Broken(String),
-    /// What came is no message of the protocol.
+    /// The received bytes are not a valid message.
     Malformed(String),
-    /// The message is larger than it may be.
+    /// The message is larger than the limit.
     TooLarge,
 }
 
@@ -50,16 +50,16 @@
     }
 }
 
-/// One connection.
+/// A TCP connection.
 #[derive(Debug)]
 pub struct Conn {
     stream: Arc<Async<TcpStream>>,
-    /// Bytes that were read and not yet used.
+    /// Bytes that were read and not yet consumed.
     read_ahead: Vec<u8>,
 }
 
 impl Conn {
-    /// Takes over `stream`, and has the kernel notice an other end that has vanished.
+    /// Wraps `stream` and enables the kernel's detection of an unreachable peer.
     pub fn new(stream: Async<TcpStream>) -> Self {
         let socket = stream.get_ref();
         socket.set_nodelay(true).ok();
@@ -81,7 +81,7 @@
         Ok(Self::new(connect.or(expire).await?))
     }
 
-    /// The stream, for writing while the connection is read.
+    /// Returns the stream, for writing while the connection is being read.
     pub fn writer(&self) -> Arc<Async<TcpStream>> {
         Arc::clone(&self.stream)
     }
@@ -91,8 +91,8 @@
         (&mut &*self.stream).write_all(bytes).await
     }
 
-    /// Whether bytes or the end of the connection have come that nobody asked for. Only looks; an
-    /// idle connection that is not silent can't be used.
+    /// Returns whether an idle connection has received bytes or was closed, without consuming
+    /// anything. Such a connection cannot be reused.
     pub fn has_unexpected_input(&self) -> bool {
         let mut byte = [0];
         let peeked = self.stream.get_ref().peek(&mut byte);
@@ -100,7 +100,7 @@
         !self.read_ahead.is_empty() || !silent
     }
 
-    /// Reads more bytes; how many, 0 at the end of the connection.
+    /// Reads more bytes into the buffer. Returns their number, or 0 at the end of the connection.
     async fn fill(&mut self) -> io::Result<usize> {
         let start = self.read_ahead.len();
         self.read_ahead.resize(start + READ_CHUNK_BYTES, 0);
@@ -109,13 +109,13 @@
         read
     }
 
-    /// Waits until a byte has come; false where the connection ended first.
+    /// Waits for the first byte. Returns false if the connection ended instead.
     pub async fn wait_for_data(&mut self) -> bool {
         !self.read_ahead.is_empty() || matches!(self.fill().await, Ok(1..))
     }
 
-    /// Waits until the other end has gone, and keeps what it sends meanwhile. Ends never for one
-    /// that sends more than may be kept.
+    /// Waits until the peer disconnects and buffers what it sends meanwhile. Never returns once the
+    /// buffer exceeds its limit.
     pub async fn wait_for_disconnect(&mut self) {
         let mut chunk = vec![0; 4_096];
         loop {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Reads the head of a request of at most `limit` bytes.
+    /// Reads a request head of at most `limit` bytes.
     pub async fn read_request(&mut self, limit: usize) -> Result<Request, Cut> {
         loop {
             if let Some((request, length)) = Request::parse(&self.read_ahead)? {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Reads the head of an answer, past those that only announce it.
+    /// Reads the head of the final answer and skips informational (1xx) ones.
     pub async fn read_response(&mut self, answers_head: bool) -> Result<Response, Cut> {
         loop {
             match Response::parse(&self.read_ahead, answers_head)? {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Reads more of a head that may have `limit` bytes.
+    /// Reads more of a head of at most `limit` bytes.
     async fn read_more_head(&mut self, limit: usize) -> Result<(), Cut> {
         if self.read_ahead.len() > limit {
             return Err(Cut::TooLarge);
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Appends the bytes of a body that have come to `output`, and waits for some where none have;
-    /// false once the body is complete.
+    /// Waits for body bytes and appends them to `output`. Returns false if the body was already
+    /// complete or ended with the connection.
     pub async fn read_body(
         &mut self,
         decoder: &mut Decoder,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Reads a whole body of at most `limit` bytes.
+    /// Reads a complete body of at most `limit` bytes.
     pub async fn read_whole(&mut self, framing: Framing, limit: usize) -> Result<Vec<u8>, Cut> {
         if matches!(framing, Framing::Length(length) if length > limit as u64) {
             return Err(Cut::TooLarge);
--- a/src/relay/delivery.rs
+++ b/src/relay/delivery.rs
@@ -1,4 +1,4 @@
-//! One request on its way to a server and back: its attempts, and how it ends.
+//! Delivery of one request: its attempts at backend servers and its outcome.
 
 use std::net::TcpStream;
 use std::sync::OnceLock;
@@ -16,53 +16,53 @@
 use crate::prelude::*;
 use crate::route::{Route, Workspace};
 
-/// Bytes of an answer that is read whole before it is passed on.
+/// Maximum size of an answer that is buffered completely before it is forwarded.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Time after which a caller may come back whose request the control thread did not take.
+/// Retry-after time for a request that the control thread, having stopped, did not accept.
 const CONTROL_STOPPED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How a request ended.
+/// Outcome of a request.
 pub(super) enum Outcome {
-    /// A whole answer went out; the connection may be kept.
+    /// A complete answer was sent; the connection can be reused.
     Answered,
-    /// The answer broke off; the connection can't be used any more.
+    /// The answer was truncated; the connection cannot be reused.
     Truncated,
-    /// The caller has gone.
+    /// The caller disconnected.
     Disconnected,
-    /// The request ends with this code, and may come back after the time given.
+    /// The request ends with this code and retry-after time.
     Code(Code, Option<Duration>),
-    /// The backend server's own failure is passed on.
+    /// The backend server's own error answer is forwarded.
     ServerFailure(Box<(Response, Vec<u8>)>),
 }
 
-/// How far a request has come, seen from beside the attempt.
+/// Progress of a request, shared with the code that runs concurrently with its attempt.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// A byte of it may have reached a server that has not refused it.
+    /// Whether a byte may have reached a server that has not refused the request.
     sent: AtomicBool,
-    /// A byte of its answer has gone to the caller.
+    /// Whether writing the answer to the caller has started.
     answer_started: AtomicBool,
-    /// The attempt under way has begun to write to the caller.
+    /// Whether the current attempt has started to write to the caller.
     attempt_writing: AtomicBool,
-    /// When the first byte of the answer went out.
+    /// The time at which the first byte of the answer was written.
     first_byte: OnceLock<Time>,
 }
 
 impl Progress {
-    /// Notes that the attempt under way is about to write to the caller.
+    /// Records that the current attempt is about to write to the caller.
     fn record_write(&self, now: Time) {
         self.first_byte.get_or_init(|| now);
         self.answer_started.store(true, Ordering::Release);
         self.attempt_writing.store(true, Ordering::Release);
     }
 
-    /// When the first byte of the answer went out, if any has.
+    /// Returns the time at which the first byte of the answer was written.
     pub(super) fn first_byte(&self) -> Option<Time> {
         self.first_byte.get().copied()
     }
 }
 
-/// One request on its way.
+/// The delivery of one request.
 pub(super) struct Delivery<'a> {
     pub(super) frontend: &'a Frontend,
     pub(super) request: &'a Request,
@@ -71,7 +71,7 @@
     pub(super) route: Arc<Route>,
     pub(super) workspace: Option<Arc<Workspace>>,
     pub(super) key: Key,
-    /// When the caller stops waiting.
+    /// The time at which the caller stops waiting.
     pub(super) deadline: Time,
     pub(super) progress: Progress,
 }
@@ -83,7 +83,7 @@
 }
 
 impl Delivery<'_> {
-    /// What a request gets whose time is over.
+    /// Returns the outcome of a request that reaches its time limit.
     pub(super) fn on_timeout(&self) -> Outcome {
         if self.progress.answer_started.load(Ordering::Acquire) {
             return Outcome::Truncated;
@@ -113,7 +113,7 @@
                 None => commands.recv().await.ok(),
             };
             let Some(command) = command else {
-                // The control thread has ended.
+                // The control thread has stopped.
                 return match self.progress.sent.load(Ordering::Acquire) {
                     true => self.failed_outcome(failure),
                     false => Outcome::Code(Code::NoServer, Some(CONTROL_STOPPED_RETRY_AFTER)),
@@ -147,10 +147,9 @@
         }
     }
 
-    /// Waits until control wants the attempt under way broken off, and leaves what it wants instead
-    /// in `next`. An attempt that has begun to write to the caller is not broken off: what another
-    /// one writes would follow the half of it that is out. The command then counts only if the
-    /// attempt fails.
+    /// Waits for a command that supersedes the current attempt and stores it in `next`. An attempt
+    /// that has started to write to the caller is not interrupted, since the next attempt's output
+    /// would follow a partial write. In that case the command applies only if the attempt fails.
     async fn superseded(
         &self,
         commands: &Receiver<Command>,
@@ -183,7 +182,7 @@
         self.frontend.control.tell(Message::Report { request, attempt, report });
     }
 
-    /// The whole message for a backend server.
+    /// Encodes the complete message for a backend server.
     fn encode_request(&self, dispatch: &Dispatch, events: &Events) -> Vec<u8> {
         let remaining = self
             .metadata
@@ -251,7 +250,7 @@
         Attempt::Unanswered(Report::Refused(refusal))
     }
 
-    /// Reads an answer whole and passes it on; one that is cut short is not passed on at all.
+    /// Buffers an answer and forwards it once it is complete; a truncated one is not forwarded.
     async fn relay_whole(
         &self,
         writer: &Async<TcpStream>,
@@ -278,7 +277,7 @@
         }
     }
 
-    /// Passes a stream on, whole event by whole event.
+    /// Forwards a stream in complete events.
     async fn relay_stream(
         &self,
         mut writer: &Async<TcpStream>,
@@ -337,16 +336,16 @@
     }
 }
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 enum Attempt {
-    /// The request has its answer.
+    /// The request ended with this outcome.
     Ended(Outcome),
-    /// The caller can't be written to.
+    /// Writing to the caller failed.
     CallerDisconnected,
-    /// It was broken off for what control wants instead.
+    /// A command from the control thread superseded the attempt.
     Superseded,
-    /// The server answered with a failure.
+    /// The server answered with an error.
     Failed(Box<(Response, Vec<u8>)>),
-    /// It is over without an answer.
+    /// The attempt ended without an answer to forward.
     Unanswered(Report),
 }
--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -1,4 +1,4 @@
-//! How requests and answers are read and marked at a process's edge.
+//! Interface to a platform's header fields.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 use crate::fleet::{Dispatch, Prompt, Refusal};
 use crate::route::Workspace;
 
-/// What a caller's request says beyond its method, path and body.
+/// Metadata in the head of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Metadata {
-    /// The id that the caller gave it.
+    /// The request id that the caller set.
     pub id: String,
-    /// How long the caller waits.
+    /// The time that the caller waits.
     pub timeout: Option<Duration>,
-    /// The key of its workspace.
+    /// The workspace's API key.
     pub workspace_key: Option<String>,
-    /// Its prompt, where it goes to an engine.
+    /// The prompt of a request to an engine.
     pub prompt: Option<Prompt>,
-    /// The last event of its stream that the caller has.
+    /// The id of the last stream event that the caller received.
     pub last_event_id: Option<u64>,
 }
 
-/// What the head of a backend server's answer says.
+/// Classification of a backend server's answer by its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Classification {
-    /// It answers this request; its weights had this version.
+    /// An answer to this request, from this version of the weights.
     Answer(Option<u64>),
-    /// The server did not run the request.
+    /// The server refused the request and did not run it.
     Refused(Refusal),
-    /// It answers another request, or is no answer of a backend server.
+    /// An answer to another request, or not from a backend server.
     Invalid,
 }
 
-/// The header fields of one platform.
+/// A platform's header fields.
 pub trait Dialect: Send + Sync {
-    /// Reads what a caller's head asks.
+    /// Reads the metadata of a caller's request.
     fn metadata(&self, request: &Request) -> Result<Metadata, Malformed>;
 
-    /// The fields that go to a backend server: the caller's, without those that only this router
-    /// may set, and its own. `left` is the time that the caller still waits.
+    /// Returns the fields for a backend server: the caller's, without those that only this router
+    /// may set, and the router's own. `remaining` is the time that the caller still waits.
     fn forwarded_fields(
         &self,
         request: &Request,
@@ -49,9 +49,9 @@
         last_event_id: Option<u64>,
     ) -> Fields;
 
-    /// Reads what an answer's head says.
+    /// Classifies an answer by its head.
     fn classify(&self, metadata: &Metadata, response: &Response) -> Classification;
 
-    /// Fields of an answer that this router makes itself.
+    /// Returns the fields of an error answer from this router.
     fn error_fields(&self, metadata: &Metadata) -> Fields;
 }
--- a/src/relay/drain.rs
+++ b/src/relay/drain.rs
@@ -1,4 +1,4 @@
-//! The last part of a planned stop: the process lives until every request that it has read is answered.
+//! The final phase of a planned stop: the process runs until it has answered every request that it has read.
 
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -7,14 +7,14 @@
 use crate::fleet::Message;
 use crate::prelude::*;
 
-/// Time between two looks at what is unanswered.
+/// Interval between checks for unanswered requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time before the end at which what has no answer yet is told so: enough to write an answer to all
-/// of them on a twentieth of a core.
+/// Time before the limit at which the remaining requests are ended: enough to answer all of them on
+/// a twentieth of a core.
 const STOP_DEADLINE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Waits until every request of `frontend` is answered, for at most `time_limit`; shortly before that ends,
-/// control ends what can still be answered truly. Returns how many requests are left without an answer.
+/// Waits until every request of `frontend` is answered, for at most `time_limit`. Shortly before the limit, the control
+/// thread ends the requests that still have a definite answer. Returns the number of unanswered requests.
 pub async fn drain(frontend: &Frontend, time_limit: Duration) -> usize {
     let answered = async {
         while frontend.unanswered() > 0 {
--- a/src/relay/events.rs
+++ b/src/relay/events.rs
@@ -1,22 +1,22 @@
-//! Event streams cut into whole events, so that one can be continued after any of them.
+//! Splitting of event streams into complete events, so that a stream can resume after any event.
 
-/// The events of one answer, over all the runs that it is made from.
+/// The events of one answer across all attempts that contribute to it.
 #[derive(Debug, Default)]
 pub struct Events {
-    /// The beginning of an event whose end has not come.
+    /// The start of an incomplete event.
     partial: Vec<u8>,
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     last_id: Option<u64>,
 }
 
 impl Events {
-    /// The events of an answer to a caller who has those up to `last`.
+    /// Creates the state for a caller that already has the events up to `last_id`.
     pub fn after(last_id: Option<u64>) -> Self {
         Self { partial: Vec::new(), last_id }
     }
 
-    /// Takes bytes as they come; returns those of the whole events among them. Events whose ids
-    /// are not above the last one were passed on before, and are left out.
+    /// Adds received bytes and returns the events that are now complete. Events with an id not above
+    /// the last one were forwarded before and are dropped.
     ///
     /// ```
     /// let mut events = cardamomvalve::relay::Events::default();
@@ -44,23 +44,23 @@
         whole
     }
 
-    /// Bytes after the last whole event; they belong to none.
+    /// Takes the bytes after the last complete event.
     pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
-    /// The id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Forgets a partial event: the next run begins it anew.
+    /// Discards an incomplete event; the next attempt sends it again from its start.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// Where the first event at or after `from` ends: past its empty line.
+/// Finds the end of an event, just past its empty line, by a search that starts at `from`.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while at < bytes.len() {
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a server: a request out, the head of its answer back.
+//! One exchange with a server: sends a request and reads the head of its answer.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 use super::{Conn, Cut, Decoder, Fields, Pool, Response, head};
 use crate::poison;
 
-/// Time for a connection to a server: many times the way within a region, and short enough to try
-/// another server within a caller's target.
+/// Timeout for connecting to a server. It is many times the latency within a region, and short
+/// enough to try another server within a caller's latency target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Idle connections kept for calls of this router: long polls and the calls beside them.
+/// Maximum number of idle connections per server for this router's own calls, which include long polls.
 const MAX_IDLE_CALL_CONNECTIONS: usize = 8;
 
 /// An exchange that failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte left: the request provably did not run.
+    /// No byte was sent, so the request did not run.
     Unsent(String),
-    /// Some bytes left, and no answer came: it may have run.
+    /// Bytes were sent, but no complete answer arrived. The request may have run.
     Lost(Cut),
 }
 
-/// The head of an answer, and its body still to be read.
+/// The head of an answer whose body is still to be read.
 #[derive(Debug)]
 pub struct Answer {
     /// The head.
     pub response: Response,
-    /// Where the body stands.
+    /// Decoder of the body.
     pub decoder: Decoder,
     address: SocketAddr,
     conn: Conn,
 }
 
 impl Answer {
-    /// Appends body bytes that have come to `output`; false once the body is complete.
+    /// Waits for body bytes and appends them to `output`. Returns false once the body is complete.
     pub async fn read(&mut self, output: &mut Vec<u8>) -> Result<bool, Cut> {
         self.conn.read_body(&mut self.decoder, output).await
     }
 
-    /// Reads the rest of the body, of at most `limit` bytes.
+    /// Reads the rest of the body, at most `limit` bytes.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Vec<u8>, Cut> {
         let mut body = Vec::new();
         while self.read(&mut body).await? {
@@ -54,7 +54,7 @@
         Ok(body)
     }
 
-    /// Keeps the connection, where it may be used again, and `most` idle ones to its server.
+    /// Returns a reusable connection to `pool`, which keeps at most `max_idle` per server.
     pub fn release(self, pool: &Pool, max_idle: usize) {
         if self.response.keep_alive && self.decoder.is_complete() {
             pool.put(self.address, self.conn, &self.response.fields, max_idle);
@@ -62,8 +62,8 @@
     }
 }
 
-/// Sends `request`, a whole message, to `address` and reads the head of the answer. `on_send` is
-/// called before the first byte leaves.
+/// Sends `request`, a complete message, to `address` and reads the head of the answer. `on_send` is
+/// called before the first byte is sent.
 pub async fn send(
     pool: &Pool,
     address: SocketAddr,
@@ -91,15 +91,15 @@
         match (&mut &*stream).write(&request[sent..]).await {
             Ok(count) if count > 0 => sent += count,
             _ if sent == 0 => return Err(Failure::Unsent("the connection was closed".into())),
-            // The server may have answered before it read a long body; the answer is still to come.
+            // The server may have answered before it read all of a long body, so read the answer.
             _ => return Ok(()),
         }
     }
     Ok(())
 }
 
-/// Looks whether somebody listens at `address`. Nothing is sent there. One that resets what it had accepted, as a server
-/// does that is about to end, listened until then.
+/// Probes whether a server listens at `address`, without sending anything. A reset counts as accepted: a stopping server
+/// resets connections that it accepted while it still listened.
 pub async fn probe(address: SocketAddr) -> poison::Answer {
     let error = match Conn::connect(address, CONNECT_TIMEOUT).await {
         Ok(_) => return poison::Answer::Accepted,
@@ -112,20 +112,20 @@
     }
 }
 
-/// A whole request without a caller: a question or an order of this router.
+/// A complete request that this router makes itself, not on behalf of a caller.
 #[derive(Debug, Clone, Default)]
 pub struct Call {
     /// The method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Header fields beside host and length.
+    /// Header fields other than `Host` and `Content-Length`.
     pub fields: Fields,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Makes a whole exchange within `limit`: status and body of the answer.
+/// Makes a complete exchange within `timeout`. Returns the status and the body of the answer.
 pub async fn fetch(
     pool: &Pool,
     address: SocketAddr,
--- a/src/relay/head.rs
+++ b/src/relay/head.rs
@@ -1,12 +1,12 @@
-//! Heads of requests and answers.
+//! Parsing and encoding of request and answer heads.
 
 use std::fmt::Write;
 
 use super::Framing;
 
-/// Header fields that one head may have at most.
+/// Maximum number of header fields in one head.
 const MAX_FIELDS: usize = 96;
-/// Fields that concern one connection only (RFC 9110, section 7.6.1), and those of framing.
+/// Connection-specific fields (RFC 9110, section 7.6.1) and fields that declare the framing.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -19,16 +19,16 @@
     "expect",
 ];
 
-/// A head that is not well-formed, or is not supported.
+/// Error for a message that is malformed or uses an unsupported feature, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
-/// Header fields in the order in which they came; names are compared without case.
+/// Header fields in their original order; names are compared case-insensitively.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, String)>);
 
 impl Fields {
-    /// The only value of the field `name`; `None` where it is missing or given more than once.
+    /// Returns the only value of the field `name`, or `None` if it is missing or repeated.
     ///
     /// ```
     /// let mut fields = cardamomvalve::relay::Fields::default();
@@ -41,23 +41,23 @@
         values.next().is_none().then_some(first.as_str())
     }
 
-    /// All values of the field `name`.
+    /// Returns all values of the field `name`.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let named = self.0.iter().filter(move |(field, _)| field.eq_ignore_ascii_case(name));
         named.map(|(_, value)| value.as_str())
     }
 
-    /// Adds a field.
+    /// Appends a field.
     pub fn push(&mut self, name: impl Into<String>, value: impl Into<String>) {
         self.0.push((name.into(), value.into()));
     }
 
-    /// All fields in order.
+    /// Iterates over all fields in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// The fields that are passed on: all but those that concern one connection only.
+    /// Iterates over the fields to forward: all except the connection-specific ones.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &str)> {
         let named: Vec<String> = self
             .all("connection")
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Whether the sender will close the connection after this message.
+    /// Returns whether the sender closes the connection after this message.
     pub fn closes_connection(&self) -> bool {
         self.all("connection")
             .flat_map(|value| value.split(','))
@@ -94,18 +94,18 @@
 pub struct Request {
     /// The method.
     pub method: String,
-    /// Path and query as they were sent.
+    /// Path and query, unmodified.
     pub target: String,
     /// The header fields.
     pub fields: Fields,
-    /// How the body is delimited.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the connection may be used again after the answer.
+    /// Whether the connection can be reused after the answer.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// Reads a head; `None` while it is incomplete. Returns its length in bytes besides.
+    /// Parses a head. Returns it with its length in bytes, or `None` if it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Malformed> {
         let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Request::new(&mut storage);
@@ -124,12 +124,15 @@
             keep_alive,
         };
         if !request.target.starts_with('/') || request.fields.get("host").is_none() {
-            return Err(Malformed("the target is no path, or there is not one Host".into()));
+            return Err(Malformed(
+                "the target is not a path, or the request does not have exactly one Host field"
+                    .into(),
+            ));
         }
         Ok(Some((request, length)))
     }
 
-    /// The path without its query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split_once('?').map_or(self.target.as_str(), |(path, _)| path)
     }
@@ -138,21 +141,21 @@
 /// The head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
     /// The header fields.
     pub fields: Fields,
-    /// How the body is delimited.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the connection may be used again after the answer.
+    /// Whether the connection can be reused after the answer.
     pub keep_alive: bool,
 }
 
 impl Response {
-    /// Reads a head; `None` while it is incomplete. Returns its length in bytes besides. An answer
-    /// to a HEAD request has no body, whatever its head says.
+    /// Parses a head. Returns it with its length in bytes, or `None` if it is incomplete. An answer
+    /// to a HEAD request has no body, whatever framing its head declares.
     pub fn parse(bytes: &[u8], answers_head: bool) -> Result<Option<(Self, usize)>, Malformed> {
         let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut storage);
@@ -172,7 +175,7 @@
     }
 }
 
-/// Writes a head: its first line, then the fields, then an empty line.
+/// Encodes a head: the first line, the fields and an empty line.
 pub(super) fn encode<'a>(
     first_line: &str,
     fields: impl Iterator<Item = (&'a str, &'a str)>,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Requests and answers passed on byte for byte over HTTP/1.1.
+//! Byte-for-byte relay of requests and answers over HTTP/1.1.
 //!
 //! The parser is `httparse`. `async-h1`, which the rest of the program uses, does not read from a
-//! caller while it answers, reads an answer that ends with its connection as empty, and takes a
-//! body that was cut short for a whole one; see `docs/HOUSE-STYLE.md`.
+//! caller while it answers, treats an answer delimited by connection close as empty, and accepts a
+//! truncated body as complete; see `docs/HOUSE-STYLE.md`.
 
 mod answer;
 mod body;
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers that are kept for the next exchange.
+//! Pool of idle connections to servers.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -7,10 +7,10 @@
 use super::{Conn, Fields};
 use crate::prelude::*;
 
-/// Time that an idle connection is kept where the server states none.
+/// Time to keep an idle connection if the server states none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// Time before the stated end at which a connection is no longer used: a request must not cross
-/// the server's close.
+/// Safety margin subtracted from the server's stated timeout: a request must not race with the
+/// server's close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 #[derive(Debug)]
@@ -19,14 +19,14 @@
     expires_at: Instant,
 }
 
-/// Idle connections by address.
+/// Idle connections, keyed by server address.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: Mutex<BTreeMap<SocketAddr, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// An idle connection to `address` that nothing has come on, the last used first.
+    /// Takes the most recently used idle connection to `address` that received nothing.
     pub fn take(&self, address: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.lock().ok()?;
         let kept = idle.get_mut(&address)?;
@@ -40,15 +40,15 @@
         None
     }
 
-    /// Closes the idle connections to `address`: who listened there has ended.
+    /// Closes the idle connections to `address`, after the server there has ended.
     pub fn close_idle(&self, address: SocketAddr) {
         if let Ok(mut idle) = self.idle.lock() {
             idle.remove(&address);
         }
     }
 
-    /// Keeps a connection whose exchange has ended, and `max_idle` idle ones to its address; `fields` are
-    /// those of its answer.
+    /// Adds a connection whose exchange has ended and closes the oldest ones to its address beyond
+    /// `max_idle`; `fields` are those of its last answer.
     pub fn put(&self, address: SocketAddr, conn: Conn, fields: &Fields, max_idle: usize) {
         let keep_alive = stated_keep_alive(fields)
             .map_or(DEFAULT_KEEP_ALIVE, |stated| stated.saturating_sub(KEEP_ALIVE_MARGIN));
@@ -65,7 +65,7 @@
     }
 }
 
-/// The seconds that a `Keep-Alive` field states.
+/// Parses the timeout of a `Keep-Alive` field.
 fn stated_keep_alive(fields: &Fields) -> Option<Duration> {
     let value = fields.get("keep-alive")?;
     let parameters = value.split(',').filter_map(|parameter| parameter.trim().split_once('='));
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and events, whole and cut anywhere.
+//! Tests of heads, bodies and events, complete and split at any byte.
 
 mod delivery;
 
@@ -105,7 +105,7 @@
     assert!(decoder.is_complete());
 }
 
-/// Feeds `wire` in pieces that end at `cuts`; returns what was decoded and what was left over.
+/// Decodes `wire` in pieces that end at `cuts`. Returns the body, the bytes left over and whether the body is complete.
 fn decode_in_pieces(framing: Framing, wire: &[u8], cuts: &[usize]) -> (Vec<u8>, Vec<u8>, bool) {
     let mut decoder = Decoder::new(framing);
     let (mut output, mut remaining) = (Vec::new(), Vec::new());
@@ -143,7 +143,7 @@
     }
 
     fn parse_any_bytes(bytes: Vec<u8>) -> bool {
-        // None of them may panic, whatever the bytes.
+        // No parser may panic on any input.
         let request = Request::parse(&bytes);
         let response = Response::parse(&bytes, false);
         let chunks = Decoder::new(Framing::Chunked).decode(&bytes, &mut Vec::new());
@@ -172,7 +172,7 @@
 fn feed_resumed_stream_drops_repeated_events() {
     let mut events = Events::default();
     assert_eq!(events.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
-    // The server broke off within the second event; another one goes on after the first.
+    // The server disconnected within the second event; another one resumes after the first.
     events.discard_partial();
     let resumed = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
     assert_eq!(events.feed(resumed), b"id: 2\ndata: b\n\n");
@@ -186,7 +186,7 @@
 }
 
 quickcheck::quickcheck! {
-    /// A head that is mutated anywhere is refused, or is one request whose parts can't end a line early.
+    /// A mutated head is rejected or parses to one request without line breaks in its parts.
     fn parse_mutated_heads_hide_no_second_request(changes: Vec<(usize, u8)>, inserts: Vec<(usize, u8)>) -> bool {
         let text = "POST /a/b?c=1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: 7\r\n\
                     Content-Length: 3\r\nConnection: keep-alive\r\n\r\nabc";
@@ -210,8 +210,8 @@
     }
 }
 
-/// A server that ends accepts a look and resets it before it stops to listen. Its end counted for nothing while the store
-/// was down, since a reset passed for silence, after which only the store tells.
+/// A stopping server accepts a probe and resets it before it stops listening. If a reset counts as silence, only the
+/// store can confirm the crash, so a crash while the store is down is ignored.
 ///
 /// ```text
 /// 06.995 400 AttemptFailed r-3 no whole answer came: its connection ended server=x-1
@@ -219,11 +219,12 @@
 /// ```
 #[test]
 fn probe_reset_by_stopping_server_is_not_silent() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("it is bound");
+    let listener =
+        std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     let mut probe = Box::pin(probe(address));
     let first = futures_lite::future::block_on(futures_lite::future::poll_once(&mut probe));
-    assert_eq!(first, None, "it is under way");
+    assert_eq!(first, None, "the probe is in progress");
     drop(listener);
     let answer = futures_lite::future::block_on(probe);
     assert_ne!(answer, crate::poison::Answer::Silent);
--- a/src/relay/tests/delivery.rs
+++ b/src/relay/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! One caller's connection under a control thread that the test plays by hand.
+//! Tests of a caller's connection; each test acts as the control thread.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,10 +13,10 @@
 use crate::route::{Limits, Repeat, Route, Split, Table, Workspace};
 use crate::telemetry::metrics::Metrics;
 
-/// Bytes of an answer that no socket's buffers hold, so that its write stops half way.
+/// Size of an answer that exceeds the socket buffers, so that writing it blocks part way.
 const LARGE_BYTES: usize = 6 << 20;
 
-/// Header fields of no platform.
+/// Dialect with almost no header fields.
 struct PlainDialect;
 
 impl Dialect for PlainDialect {
@@ -70,19 +70,19 @@
         public: true,
     };
     let table = Table::new(1, vec![route], BTreeMap::new(), Vec::new(), Limits::default());
-    Arc::new(table.expect("it is valid"))
+    Arc::new(table.expect("the table is valid"))
 }
 
-/// A server that answers each connection's first request by its head.
+/// Starts a server that answers the first request of each connection according to its head.
 fn serve_each(answer: impl Fn(&str) -> Vec<u8> + Send + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
             let mut head = [0; 4_096];
-            let read = stream.read(&mut head).expect("a request comes");
-            assert!(head[..read].ends_with(b"\r\n\r\n"), "its head came in pieces");
+            let read = stream.read(&mut head).expect("a request arrives");
+            assert!(head[..read].ends_with(b"\r\n\r\n"), "the head arrives in one read");
             let head = String::from_utf8_lossy(&head[..read]).into_owned();
             stream.write_all(&answer(&head)).ok();
         }
@@ -90,17 +90,18 @@
     address
 }
 
-/// A server that answers each connection's first request with `answer`.
+/// Starts a server that answers the first request of each connection with `answer`.
 fn serve_once(answer: Vec<u8>) -> SocketAddr {
     serve_each(move |_| answer.clone())
 }
 
-/// A server that streams `events` after the one that the request names.
+/// Starts a server that streams the `events` after the one in the request's `Last-Event-Id`.
 fn serve_stream(events: &[&'static str]) -> SocketAddr {
     let events = events.to_vec();
     serve_each(move |head| {
         let after = head.lines().find_map(|line| line.strip_prefix("Last-Event-Id: "));
-        let after: usize = after.map_or(0, |after| after.trim().parse().expect("a number"));
+        let after: usize =
+            after.map_or(0, |after| after.trim().parse().expect("the id is a number"));
         let body = events[after..].concat();
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
     })
@@ -126,7 +127,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// A caller's connection, and the control thread's side of it.
+/// A caller's connection and the control thread's end of its channel.
 struct Fixture {
     frontend: Arc<Frontend>,
     caller: TcpStream,
@@ -137,29 +138,31 @@
     fn start(streams: bool) -> Self {
         let (control, inputs) = Control::new();
         control.set_table(table(streams));
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let caller = TcpStream::connect(listener.local_addr().expect("it is bound"));
-        let mut caller = caller.expect("it listens");
-        let (stream, _) = listener.accept().expect("it connects");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+        let caller = TcpStream::connect(listener.local_addr().expect("the listener is bound"));
+        let mut caller = caller.expect("the listener accepts connections");
+        let (stream, _) = listener.accept().expect("the caller has connected");
         let (shutdown_sender, shutdown) = async_channel::bounded(1);
-        let metrics = Arc::new(Metrics::new().expect("instruments can be made"));
+        let metrics = Arc::new(Metrics::new().expect("instruments can be created"));
         let frontend =
             Frontend::new(Arc::new(PlainDialect), control, Arc::default(), metrics, shutdown);
         let frontend = Arc::new(frontend);
         let serving = Arc::clone(&frontend);
         thread::spawn(move || {
-            let stream = Async::new(stream).expect("it can be waited for");
+            let stream = Async::new(stream).expect("the stream can be polled");
             block_on(serve(serving, stream));
             drop(shutdown_sender);
         });
-        caller.write_all(b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n").expect("it is read");
+        caller
+            .write_all(b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n")
+            .expect("the connection is open");
         Self { frontend, caller, inputs }
     }
 
     fn receive_arrival(&self) -> (Box<Arrival>, Sender<Command>) {
         match self.inputs.recv_blocking() {
             Ok(Input::Open(arrival, commands)) => (arrival, commands),
-            other => panic!("a request was expected: {other:?}"),
+            other => panic!("expected a request: {other:?}"),
         }
     }
 
@@ -167,24 +170,26 @@
         match self.inputs.recv_blocking() {
             Ok(Input::Message(message)) => match *message {
                 Message::Report { attempt, report, .. } => (attempt, report),
-                other => panic!("a report was expected: {other:?}"),
+                other => panic!("expected a report: {other:?}"),
             },
-            other => panic!("a report was expected: {other:?}"),
+            other => panic!("expected a report: {other:?}"),
         }
     }
 
-    /// Waits until bytes of an answer have reached the caller, who has read none of them.
+    /// Waits until a byte of the answer has reached the caller, without reading it.
     fn wait_for_answer(&self) {
         let mut byte = [0];
-        assert_eq!(self.caller.peek(&mut byte).expect("it is open"), 1);
+        assert_eq!(self.caller.peek(&mut byte).expect("the connection is open"), 1);
     }
 
-    /// Reads the answer's body to the end of the connection or of the chunks.
+    /// Reads the answer's complete body.
     fn body(&mut self) -> Vec<u8> {
         let mut conn = Conn::new(Async::new(self.caller.try_clone().expect("open")).expect("open"));
         block_on(async {
-            let response = conn.read_response(false).await.expect("a head comes");
-            conn.read_whole(response.framing, 4 * LARGE_BYTES).await.expect("a whole body comes")
+            let response = conn.read_response(false).await.expect("a head arrives");
+            conn.read_whole(response.framing, 4 * LARGE_BYTES)
+                .await
+                .expect("a complete body arrives")
         })
     }
 }
@@ -197,11 +202,11 @@
             let first = serve_once(large_answer(streams, 'a'));
             let second = serve_once(large_answer(streams, 'b'));
             let (_, commands) = fixture.receive_arrival();
-            commands.try_send(dispatch(1, first)).expect("it waits");
+            commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
             assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
             fixture.wait_for_answer();
             let command = if late { Command::GiveUp } else { dispatch(2, second) };
-            commands.try_send(command).expect("it may be sent");
+            commands.try_send(command).expect("the command channel is open");
             thread::sleep(Duration::from_millis(50));
             let body = fixture.body();
             assert!(body.len() >= LARGE_BYTES && !body.contains(&b'b'), "{streams} {late}");
@@ -222,10 +227,10 @@
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{rest}", rest.len());
     let second = serve_once(whole.into_bytes());
     let (_, commands) = fixture.receive_arrival();
-    commands.try_send(dispatch(1, first)).expect("it waits");
+    commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
     assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
     fixture.wait_for_answer();
-    commands.try_send(dispatch(2, second)).expect("it may be sent");
+    commands.try_send(dispatch(2, second)).expect("the command channel is open");
     let body = fixture.body();
     assert!(body.len() == length + rest.len() && body.ends_with(rest.as_bytes()));
     assert_eq!(fixture.receive_report(), (1, Report::Lost(Loss::Connection)));
@@ -243,9 +248,9 @@
         let first = serve_once(format!("{head}{}", &whole[..cut]).into_bytes());
         let mut fixture = Fixture::start(true);
         let (_, commands) = fixture.receive_arrival();
-        commands.try_send(dispatch(1, first)).expect("it waits");
+        commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
         while fixture.receive_report() != (1, Report::Lost(Loss::Connection)) {}
-        commands.try_send(dispatch(2, second)).expect("it waits");
+        commands.try_send(dispatch(2, second)).expect("the delivery awaits a command");
         assert_eq!(String::from_utf8_lossy(&fixture.body()), whole, "cut after {cut} bytes");
     }
 }
@@ -254,16 +259,18 @@
 fn drain_waits_for_answers_to_refused_requests() {
     let mut fixture = Fixture::start(true);
     let (_, commands) = fixture.receive_arrival();
-    // Control has no open request by now, and the caller no answer.
+    // The control thread has no open request, but the caller has no answer yet.
     assert_eq!(fixture.frontend.control.open_requests(), 0);
     assert_eq!(block_on(drain(&fixture.frontend, Duration::from_millis(50))), 1);
     let Ok(Input::Message(message)) = fixture.inputs.recv_blocking() else {
-        panic!("a message was expected")
+        panic!("expected a message")
     };
     assert_eq!(*message, Message::StopDeadline);
-    commands.try_send(Command::Refuse(Code::NoServer, Duration::ZERO)).expect("it waits");
+    commands
+        .try_send(Command::Refuse(Code::NoServer, Duration::ZERO))
+        .expect("the delivery awaits a command");
     assert_eq!(block_on(drain(&fixture.frontend, Duration::from_secs(20))), 0);
     let mut answer = [0; 12];
-    fixture.caller.read_exact(&mut answer).expect("an answer comes");
+    fixture.caller.read_exact(&mut answer).expect("an answer arrives");
     assert_eq!(&answer, b"HTTP/1.1 503");
 }
