--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,29 +1,30 @@
-//! Reading whole bodies, counted against what their head declared.
+//! Reads complete bodies and checks them against the declared framing.
 
 use futures_lite::{AsyncRead, AsyncReadExt};
 use http_types::headers::{CONTENT_LENGTH, Headers, TRANSFER_ENCODING};
 
 use crate::prelude::*;
 
-/// How a message's body is delimited.
+/// Framing of a message's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length in bytes.
+    /// Delimited by its length in bytes.
     Length(u64),
-    /// By chunks.
+    /// Encoded in chunks.
     Chunked,
-    /// Neither is declared.
+    /// Neither a length nor chunked coding is declared.
     Absent,
 }
 
-/// Reads the framing from the headers; contradictions and unknown codings are errors.
+/// Reads the framing from the headers. Contradictions and unsupported codings are errors.
 pub fn framing(headers: &Headers) -> Result<Framing> {
     let length = declared_length(headers)?;
     let coding = headers.get(TRANSFER_ENCODING);
     match (length, coding) {
-        (Some(_), Some(_)) => {
-            Err(Error::new(Code::ConflictingLength, "both length and transfer coding are given"))
-        }
+        (Some(_), Some(_)) => Err(Error::new(
+            Code::ConflictingLength,
+            "both Content-Length and Transfer-Encoding are present",
+        )),
         (Some(length), None) => Ok(Framing::Length(length)),
         (None, None) => Ok(Framing::Absent),
         (None, Some(coding)) => {
@@ -34,7 +35,7 @@
             } else {
                 Err(Error::new(
                     Code::ConflictingLength,
-                    "only the transfer coding chunked is taken",
+                    "the only supported transfer coding is chunked",
                 ))
             }
         }
@@ -52,25 +53,25 @@
             .parse::<u64>()
             .ok()
             .filter(|_| digits.bytes().all(|byte| byte.is_ascii_digit()))
-            .ok_or_else(|| Error::new(Code::ConflictingLength, "Content-Length is no number"))?;
+            .ok_or_else(|| Error::new(Code::ConflictingLength, "Content-Length is not a number"))?;
         if declared.is_some_and(|other| other != length) {
-            return Err(Error::new(Code::ConflictingLength, "two Content-Lengths differ"));
+            return Err(Error::new(Code::ConflictingLength, "Content-Length values differ"));
         }
         declared = Some(length);
     }
     Ok(declared)
 }
 
-/// Why a body could not be read whole.
+/// Error in reading a body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadError {
-    /// It is longer than the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// It ended early or its connection failed.
+    /// The body ended early or its connection failed.
     Truncated(String),
 }
 
-/// Reads a whole body of at most `limit` bytes and counts it against `framing`.
+/// Reads a complete body of at most `limit` bytes and checks its length against `framing`.
 pub async fn read<R: AsyncRead + Unpin>(
     reader: R,
     framing: Framing,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,7 +1,7 @@
-//! One exchange on one fresh connection.
+//! HTTP exchanges, each on a new connection.
 //!
-//! A connection is never used twice, so an answer that comes late, twice or crossed has no
-//! request to be mistaken for; see `docs/DESIGN.md`.
+//! Connections are not reused, so a late, repeated or mismatched answer cannot be taken for the
+//! answer to another request; see `docs/DESIGN.md`.
 
 use std::net::SocketAddr;
 
@@ -13,34 +13,34 @@
 use super::body::{self, Framing, ReadError};
 use crate::prelude::*;
 
-/// Bounds of one exchange.
+/// Limits of one exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Time for the connection to be made.
+    /// Timeout for connecting.
     pub connect_timeout: Duration,
-    /// Time for the head of the answer to arrive.
+    /// Timeout for the head of the answer.
     pub head_timeout: Duration,
-    /// Time that a read or write may wait.
+    /// Timeout for a read or write without progress.
     pub idle_timeout: Duration,
-    /// Bytes of an answer's body.
+    /// Maximum size of an answer's body.
     pub max_body_bytes: u64,
 }
 
-/// How far an exchange came that failed.
+/// Stage that a failed exchange reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// No byte of the request left this machine: it provably did not run.
+    /// No byte of the request was sent, so it did not run.
     Unsent,
-    /// At least one byte left: it may have run.
+    /// At least one byte was sent, so the request may have run.
     Sent,
 }
 
 /// An exchange that failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// How far it came.
+    /// The stage reached.
     pub stage: Stage,
-    /// What was seen.
+    /// Description of the failure.
     pub reason: String,
     /// Whether the answer was larger than the limit.
     pub too_large: bool,
@@ -52,26 +52,26 @@
     }
 }
 
-/// The head of an answer, and its body still to be read.
+/// The head of an answer whose body is still to be read.
 #[derive(Debug)]
 pub struct Answer {
     /// Head and body reader.
     pub response: Response,
-    /// How the body is delimited.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Largest body that [`Answer::read_whole`] reads, in bytes.
+    /// Maximum size of a body that [`Answer::read_whole`] reads, in bytes.
     limit: u64,
 }
 
 impl Answer {
-    /// Reads the whole body.
+    /// Reads the complete body.
     pub async fn read_whole(mut self) -> Result<(Response, Vec<u8>), Failure> {
         let body = self.response.take_body();
         match body::read(body, self.framing, self.limit).await {
             Ok(bytes) => Ok((self.response, bytes)),
             Err(ReadError::TooLarge) => Err(Failure {
                 stage: Stage::Sent,
-                reason: "the answer is too large".into(),
+                reason: "the answer exceeds the size limit".into(),
                 too_large: true,
             }),
             Err(ReadError::Truncated(reason)) => Err(Failure::new(Stage::Sent, reason)),
@@ -79,7 +79,7 @@
     }
 }
 
-/// A request to `path` (with query) at `address`; `Connection: close` is set.
+/// Creates a request for `path` (with query) at `address`, with `Connection: close`.
 pub fn request(method: Method, address: SocketAddr, path: &str) -> Result<Request> {
     let url = Url::parse(&format!("http://{address}{path}"))
         .map_err(|error| Error::new(Code::MalformedRequest, error.to_string()))?;
@@ -120,14 +120,15 @@
         return Ok(Framing::Length(0));
     }
     match body::framing(response.as_ref())? {
-        Framing::Absent => {
-            Err(Error::new(Code::ConflictingLength, "the answer has neither length nor chunks"))
-        }
+        Framing::Absent => Err(Error::new(
+            Code::ConflictingLength,
+            "the answer has neither a length nor chunked coding",
+        )),
         framing => Ok(framing),
     }
 }
 
-/// Sends `request` with a JSON `body` and reads the whole answer.
+/// Sends a request with an optional `json` body and reads the complete answer.
 pub async fn send_json(
     address: SocketAddr,
     method: Method,
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! The strict rim around the HTTP library, which is lenient by itself.
+//! Strict validation around the lenient HTTP library.
 //!
-//! What the library lets pass is refused here: bodies cut short of their length, lengths that
-//! contradict each other, answers with neither length nor chunking, pipelined bytes, and peers
-//! that neither read nor write.
+//! This module rejects what the library accepts: bodies shorter than their declared length,
+//! contradictory lengths, answers with neither length nor chunked coding, pipelined bytes, and
+//! peers that neither read nor write.
 
 pub mod body;
 pub mod client;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving one connection, strictly.
+//! Serves one connection with strict validation of requests.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,7 +11,7 @@
 use super::body::{self, Framing, ReadError};
 use crate::prelude::*;
 
-/// Largest number of request headers.
+/// Maximum number of request headers.
 pub const MAX_HEADERS: usize = 64;
 
 const MALFORMED_ANSWER: &str = concat!(
@@ -23,7 +23,7 @@
 
 /// Serves requests on `socket` one after another until it closes or fails.
 ///
-/// `endpoint` is given each request, its body still unread.
+/// `endpoint` receives each request with its body unread.
 pub async fn serve<F, Fut>(socket: Socket, endpoint: F) -> http_types::Result<()>
 where
     F: Fn(Request, Socket) -> Fut,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Answers a head that the library could not read, unless an answer has already begun.
+/// Answers a head that the library could not parse, unless an answer has already started.
 async fn answer_malformed(socket: &Socket) {
     if socket.bytes_written() == 0 && socket.has_bytes() {
         let mut socket = socket.clone();
@@ -58,7 +58,7 @@
     }
 }
 
-/// A request whose body has been read whole.
+/// A request whose body has been read completely.
 #[derive(Debug)]
 pub struct Received {
     /// The head.
@@ -69,7 +69,7 @@
     pub close: bool,
 }
 
-/// Checks the head of `request` and reads its body of at most `limit` bytes.
+/// Validates the head of `request` and reads its body of at most `limit` bytes.
 pub async fn read(mut request: Request, socket: &Socket, limit: u64) -> Result<Received> {
     check_head(&request)?;
     let framing = body::framing(request.as_ref())?;
@@ -88,8 +88,8 @@
     Ok(Received { request, body, close })
 }
 
-/// Whether bytes beyond this request were read; the library would lose them. What follows a
-/// chunked body can't be told, so its connection always closes.
+/// Returns whether bytes beyond this request were read, which the library would lose. After a
+/// chunked body this cannot be determined, so its connection always closes.
 fn is_pipelined(socket: &Socket, framing: Framing) -> bool {
     match framing {
         Framing::Chunked => true,
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// An answer with a JSON body.
+/// Creates an answer with a JSON body.
 pub fn json(status: u16, body: &serde_json::Value) -> Response {
     let mut response = empty(status);
     response.set_body(body.to_string());
@@ -125,7 +125,7 @@
     response
 }
 
-/// An answer with a plain-text body.
+/// Creates an answer with a text body.
 pub fn text(status: u16, body: String, content_type: &str) -> Response {
     let mut response = empty(status);
     response.set_body(body);
@@ -133,7 +133,7 @@
     response
 }
 
-/// An answer without a body.
+/// Creates an answer without a body.
 pub fn empty(status: u16) -> Response {
     Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError))
 }
--- a/src/http/socket.rs
+++ b/src/http/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that counts its bytes and gives up on an idle peer.
+//! A TCP connection that counts its bytes and times out on an idle peer.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,11 +12,11 @@
 
 use crate::prelude::*;
 
-/// Time to the next accept after one that failed, so that a full table of descriptors passes.
+/// Delay after a failed accept, so that file descriptors can become available again.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
-/// Finds where the head of the current exchange ends among the bytes read.
+/// Scanner that finds the end of the current exchange's head in the bytes read.
 #[derive(Debug, Default)]
 struct Scanner {
     bytes_read: u64,
@@ -52,7 +52,7 @@
     scanner: Mutex<Scanner>,
 }
 
-/// One connection; clones share it.
+/// A connection. Clones share it, but each has its own idle timers.
 #[derive(Debug)]
 pub struct Socket {
     shared: Arc<Shared>,
@@ -62,7 +62,7 @@
 }
 
 impl Socket {
-    /// Wraps `stream`; a read or write that waits longer than `idle_timeout` fails.
+    /// Wraps `stream`. A read or write that waits longer than `idle_timeout` fails.
     pub fn new(stream: Async<TcpStream>, idle_timeout: Duration) -> Self {
         stream.get_ref().set_nodelay(true).ok();
         let shared = Shared {
@@ -87,12 +87,12 @@
         Ok(Self::new(connect.or(expire).await?, idle_timeout))
     }
 
-    /// Bytes that the kernel has taken from this side so far.
+    /// Returns the number of bytes written in the current exchange, as accepted by the kernel.
     pub fn bytes_written(&self) -> u64 {
         self.shared.bytes_written.load(Ordering::Acquire)
     }
 
-    /// Starts counting a new exchange.
+    /// Starts a new exchange and resets the counters.
     pub fn begin_exchange(&self) {
         self.shared.bytes_written.store(0, Ordering::Release);
         if let Ok(mut scanner) = self.shared.scanner.lock() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Bytes read past the head of the current exchange.
+    /// Returns the number of bytes read past the head of the current exchange.
     pub fn read_past_head(&self) -> u64 {
         let Ok(scanner) = self.shared.scanner.lock() else {
             return 0;
@@ -108,12 +108,12 @@
         scanner.head_length.map_or(0, |length| scanner.bytes_read - length)
     }
 
-    /// Whether a whole head has been read in the current exchange.
+    /// Returns whether a complete head has been read in the current exchange.
     pub fn has_head(&self) -> bool {
         self.shared.scanner.lock().is_ok_and(|scanner| scanner.head_length.is_some())
     }
 
-    /// Whether any byte has been read in the current exchange.
+    /// Returns whether any byte has been read in the current exchange.
     pub fn has_bytes(&self) -> bool {
         self.shared.scanner.lock().is_ok_and(|scanner| scanner.bytes_read > 0)
     }
@@ -130,7 +130,7 @@
     }
 }
 
-/// `Pending` until `idle_timeout` has passed since the first call with an empty `timer`.
+/// Returns a timeout error once `idle_timeout` has passed since the first call with an empty `timer`.
 fn poll_idle_timeout<T>(
     timer: &mut Option<Timer>,
     idle_timeout: Duration,
@@ -191,7 +191,7 @@
     }
 }
 
-/// The next connection to `listener`; failures are waited out.
+/// Accepts the next connection to `listener`, and retries after failures.
 pub async fn accept(listener: &Async<TcpListener>) -> Async<TcpStream> {
     loop {
         match listener.accept().await {
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Exchanges over real sockets with peers that break the rules.
+//! Tests of exchanges over real sockets with misbehaving peers.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -16,12 +16,12 @@
     max_body_bytes: 1_000,
 };
 
-/// A server that reads one request head and answers with `answer`.
+/// Starts a server that reads one request head and sends `answer`.
 fn server(answer: &'static str) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a caller");
+        let (mut stream, _) = listener.accept().expect("a client connects");
         let mut head = Vec::new();
         let mut byte = [0];
         while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n > 0) {
@@ -33,7 +33,7 @@
 }
 
 fn exchange(address: SocketAddr, limits: Limits) -> Result<String, client::Failure> {
-    let request = client::request(Method::Get, address, "/").expect("a request");
+    let request = client::request(Method::Get, address, "/").expect("the request is valid");
     block_on(async {
         let (_, body) = client::send(address, request, limits).await?.read_whole().await?;
         Ok(String::from_utf8_lossy(&body).into_owned())
@@ -69,25 +69,31 @@
         assert_eq!(failure.stage, Stage::Sent, "{answer:?}: {}", failure.reason);
     }
     let long = server("HTTP/1.1 200 OK\r\ncontent-length: 1001\r\n\r\n");
-    assert!(exchange(long, LIMITS).expect_err("it is too large").too_large);
+    assert!(exchange(long, LIMITS).expect_err("the answer is too large").too_large);
 }
 
 #[test]
 fn send_refused_connection_is_unsent() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     drop(listener);
-    assert_eq!(exchange(address, LIMITS).expect_err("refused").stage, Stage::Unsent);
+    assert_eq!(
+        exchange(address, LIMITS).expect_err("the connection is refused").stage,
+        Stage::Unsent
+    );
 }
 
 #[test]
 fn send_silent_server_is_sent_failure() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     for limits in [
         Limits { head_timeout: Duration::from_millis(50), ..LIMITS },
         Limits { idle_timeout: Duration::from_millis(50), ..LIMITS },
     ] {
-        assert_eq!(exchange(address, limits).expect_err("silence").stage, Stage::Sent);
+        assert_eq!(
+            exchange(address, limits).expect_err("the server sends no answer").stage,
+            Stage::Sent
+        );
     }
 }
