--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -1,4 +1,4 @@
-//! How the servers look to this daemon: load, cached prefix, free slots.
+//! Candidate servers of a request: load, cached prefix and free slots as this daemon knows them.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,23 +12,23 @@
 use crate::prefix::{BLOCK_TOKENS, Depth, Key, Prefix};
 use crate::prelude::*;
 
-/// Engine time a second that one copy of a first level is meant to carry, in milliseconds.
-const COPY_CARRIES_MS: f64 = 500.0;
-/// Milliseconds of engine time assumed for one answer token.
+/// Work that one copy of a first level should carry, in milliseconds of engine time a second.
+const COPY_LOAD_MS_PER_S: f64 = 500.0;
+/// Engine time assumed for one answer token, in milliseconds.
 const ANSWER_TOKEN_MS: f64 = 2.0;
 
 impl Node {
-    /// Digests of peers that are still fresh.
-    pub(super) fn fresh_peers(&self, now: Time) -> impl Iterator<Item = &peer::Digest> {
+    /// Digests of live peers.
+    pub(super) fn live_peers(&self, now: Time) -> impl Iterator<Item = &peer::Digest> {
         let lifetime = self.policy.digest_lifetime;
         self.peers
             .values()
-            .filter(move |peer| now.saturating_sub(peer.at) < lifetime)
+            .filter(move |peer| now.saturating_sub(peer.received_at) < lifetime)
             .map(|peer| &peer.digest)
     }
 
-    /// Servers that may be given `request` now.
-    pub(super) fn usable(
+    /// Servers that can take `request` now.
+    pub(super) fn usable_servers(
         &self,
         now: Time,
         request: attempt::Key,
@@ -37,22 +37,31 @@
         state.into_iter().flat_map(move |state| {
             self.membership
                 .pool(&state.arrival.pool)
-                .filter(move |(_, server)| fits(now, state, server))
+                .filter(move |(_, server)| is_eligible(now, state, server))
         })
     }
 
     /// The candidates for `request` with their costs, the best first. Servers that failed it
-    /// before are left out as long as there are others.
-    pub(super) fn score(&self, now: Time, request: attempt::Key, free_only: bool) -> Vec<Scored> {
+    /// before are left out while there are others.
+    pub(super) fn score_candidates(
+        &self,
+        now: Time,
+        request: attempt::Key,
+        free_only: bool,
+    ) -> Vec<Scored> {
         let Some(state) = self.requests.get(&request) else {
             return Vec::new();
         };
-        let usable: Vec<(membership::Key, &Server)> = self.usable(now, request).collect();
+        let usable: Vec<(membership::Key, &Server)> = self.usable_servers(now, request).collect();
         let untried: Vec<(membership::Key, &Server)> =
             usable.iter().copied().filter(|(key, _)| !state.failed.contains(key)).collect();
         let mut servers = if untried.is_empty() { usable } else { untried };
-        self.poison.avoid_other_suspects(state.arrival.fingerprint, self.running(), &mut servers);
-        let depth = self.depth(now, &state.arrival.prefix);
+        self.poison.avoid_other_suspects(
+            state.arrival.fingerprint,
+            self.running_requests(),
+            &mut servers,
+        );
+        let depth = self.cached_depth(now, &state.arrival.prefix);
         let candidates: Vec<Candidate> = servers
             .iter()
             .map(|(key, server)| self.candidate(now, state, &depth, *key, server))
@@ -65,36 +74,41 @@
             prefix: &state.arrival.prefix,
             tokens: state.arrival.tokens,
             objective,
-            copies: self.copies(now, state.arrival.prefix.level(0), candidates.len()),
-            held: self.held(&depth),
+            copies: self.max_copies(now, state.arrival.prefix.level(0), candidates.len()),
+            held: self.max_reachable_depth(&depth),
             free_only,
         };
         choose(ask, &candidates)
     }
 
-    /// Leading blocks that each server holds or, by peers' digests, soon will.
-    pub(super) fn depth(&self, now: Time, prefix: &Prefix) -> Depth {
+    /// Number of leading blocks that each server holds or, by peers' digests, will soon hold.
+    pub(super) fn cached_depth(&self, now: Time, prefix: &Prefix) -> Depth {
         let mut depth = self.residency.depth(&prefix.blocks);
         let (Some(level), Some(end)) = (prefix.level(0), prefix.levels.first()) else {
             return depth;
         };
-        let copies = self.fresh_peers(now).flat_map(|digest| &digest.copies);
+        let copies = self.live_peers(now).flat_map(|digest| &digest.copies);
         for copy in copies.filter(|copy| copy.level == level) {
             let Some(key) = self.membership.find(&copy.server) else { continue };
             let server = self.membership.get(key);
             if server.is_some_and(|s| s.incarnation.as_ref() == Some(&copy.incarnation)) {
-                let held = depth.entry(key).or_insert(0);
-                *held = (*held).max(*end);
+                let blocks = depth.entry(key).or_insert(0);
+                *blocks = (*blocks).max(*end);
             }
         }
         depth
     }
 
-    /// Most leading blocks at any engine that answers, leaving ones included.
-    fn held(&self, depth: &Depth) -> usize {
-        let answers =
+    /// Maximum number of leading blocks at a reachable engine, leaving ones included.
+    fn max_reachable_depth(&self, depth: &Depth) -> usize {
+        let is_reachable =
             |key: &membership::Key| self.membership.get(*key).is_some_and(Server::is_reachable);
-        depth.iter().filter(|(key, _)| answers(key)).map(|(_, held)| *held).max().unwrap_or(0)
+        depth
+            .iter()
+            .filter(|(key, _)| is_reachable(key))
+            .map(|(_, blocks)| *blocks)
+            .max()
+            .unwrap_or(0)
     }
 
     fn candidate(
@@ -106,15 +120,15 @@
         server: &Server,
     ) -> Candidate {
         let arrival = &state.arrival;
-        let busy = self.fleet_busy(now, key, &server.vm.id);
-        let force = self.force();
+        let busy = self.total_load(now, key, &server.vm.id);
+        let force = self.manifest_in_force();
         let limit = force
             .and_then(|force| force.manifest.pools.get(&arrival.pool))
             .map_or(1, |pool| pool.max_in_flight);
         let free = busy.requests < admission::max_slots(arrival.priority, limit);
         let token_ms = 1_000.0 / f64::from(server.load.prefill_tokens_per_s);
         let queued = server.load.queued_tokens.max(u64::from(busy.pending_tokens));
-        let hold_ms = self.paces.get(&arrival.pool).copied().unwrap_or_default().hold_ms;
+        let hold_ms = self.averages.get(&arrival.pool).copied().unwrap_or_default().hold_ms;
         let slot_ms = if free { 0.0 } else { hold_ms / f64::from(limit.max(1)) };
         let queue_ms = match server.vm.role {
             Role::ServiceServer => f64::from(busy.requests) * hold_ms / f64::from(limit.max(1)),
@@ -132,10 +146,10 @@
         }
     }
 
-    /// Work at a server from this daemon and, by their digests, from its peers.
-    pub(super) fn fleet_busy(&self, now: Time, key: membership::Key, id: &str) -> peer::Busy {
+    /// Work at a server from this daemon and, by their digests, from live peers.
+    pub(super) fn total_load(&self, now: Time, key: membership::Key, id: &str) -> peer::Busy {
         let mut sum = self.busy.get(&key).copied().unwrap_or_default();
-        for digest in self.fresh_peers(now) {
+        for digest in self.live_peers(now) {
             if let Some(busy) = digest.busy.get(id) {
                 sum.requests = sum.requests.saturating_add(busy.requests);
                 sum.pending_tokens = sum.pending_tokens.saturating_add(busy.pending_tokens);
@@ -144,23 +158,23 @@
         sum
     }
 
-    /// How many servers may hold a copy of `level`, by the work it brings over all daemons.
-    fn copies(&self, now: Time, level: Option<Key>, servers: usize) -> usize {
+    /// Maximum number of servers that hold a copy of `level`, from its work over all daemons.
+    fn max_copies(&self, now: Time, level: Option<Key>, servers: usize) -> usize {
         let Some(level) = level else { return servers };
-        let peers: f64 = self
-            .fresh_peers(now)
+        let peer_work_ms: f64 = self
+            .live_peers(now)
             .flat_map(|digest| &digest.heat)
             .filter(|(key, _)| *key == level)
             .map(|(_, rate)| rate)
             .sum();
-        let work_ms = self.heat.rate(now, level) + peers;
-        let copies = (work_ms / COPY_CARRIES_MS).ceil().max(1.0);
+        let work_ms = self.heat.rate(now, level) + peer_work_ms;
+        let copies = (work_ms / COPY_LOAD_MS_PER_S).ceil().max(1.0);
         (copies as usize).min(servers.max(1))
     }
 
-    /// Notes that a request was dispatched: its slot, its prefill, the heat of its first level,
-    /// and the blocks that its server will hold.
-    pub(super) fn note_work(
+    /// Records a dispatch: the slot, the prefill, the heat of the first level and the blocks that
+    /// the server will hold.
+    pub(super) fn record_dispatch(
         &mut self,
         now: Time,
         server: membership::Key,
@@ -175,29 +189,30 @@
             self.residency.insert(server, *block);
         }
         let Some(level) = level else { return };
-        let first = blocks.iter().position(|block| *block == level).map_or(0, |end| end + 1);
-        if first > 0 && pending_tokens as usize >= first * BLOCK_TOKENS as usize {
+        let level_blocks = blocks.iter().position(|block| *block == level).map_or(0, |end| end + 1);
+        if level_blocks > 0 && pending_tokens as usize >= level_blocks * BLOCK_TOKENS as usize {
             self.copies.insert((level, server), now);
         }
-        let speed = self.membership.get(server).map_or(1, |s| s.load.prefill_tokens_per_s);
-        let work_ms = f64::from(pending_tokens) * 1_000.0 / f64::from(speed);
+        let prefill_tokens_per_s =
+            self.membership.get(server).map_or(1, |s| s.load.prefill_tokens_per_s);
+        let work_ms = f64::from(pending_tokens) * 1_000.0 / f64::from(prefill_tokens_per_s);
         self.heat.note(now, level, work_ms + ANSWER_TOKEN_MS);
     }
 
-    /// Notes that a server has computed a request's prompt.
-    pub(super) fn prompt_computed(&mut self, server: membership::Key, pending_tokens: u32) {
+    /// Records that a server has computed a request's prompt.
+    pub(super) fn record_prompt_computed(&mut self, server: membership::Key, pending_tokens: u32) {
         if let Some(busy) = self.busy.get_mut(&server) {
             busy.pending_tokens = busy.pending_tokens.saturating_sub(pending_tokens);
         }
     }
 
-    /// Frees the slot of a request that was dispatched.
-    pub(super) fn release(&mut self, now: Time, state: &Request) {
+    /// Frees the slot of a dispatched request.
+    pub(super) fn release_slot(&mut self, now: Time, state: &Request) {
         let Phase::Sent { server, at, pending_tokens, begun } = state.phase else {
             return;
         };
         if !begun {
-            self.prompt_computed(server, pending_tokens);
+            self.record_prompt_computed(server, pending_tokens);
         }
         if let Some(busy) = self.busy.get_mut(&server) {
             busy.requests = busy.requests.saturating_sub(1);
@@ -205,13 +220,13 @@
                 self.busy.remove(&server);
             }
         }
-        let held_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
-        let pace = self.paces.entry(state.arrival.pool.clone()).or_default();
-        pace.hold_ms += (held_ms - pace.hold_ms) * 0.05;
+        let hold_ms = now.saturating_sub(at).as_secs_f64() * 1_000.0;
+        let averages = self.averages.entry(state.arrival.pool.clone()).or_default();
+        averages.hold_ms += (hold_ms - averages.hold_ms) * 0.05;
     }
 }
 
-fn fits(now: Time, state: &Request, server: &Server) -> bool {
+fn is_eligible(now: Time, state: &Request, server: &Server) -> bool {
     let serves = match &state.arrival.target {
         Target::Model { model, weights, .. } => server.serves(model, weights),
         Target::Service { .. } => server.vm.role == Role::ServiceServer,
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Keyed requests: claimed on the log before they may run, and answered from what is known.
+//! Requests with an idempotency key: claimed on the log before they run, or answered from the ledger.
 
 use super::{Node, Stream};
 use crate::attempt::{self, Command, Phase, Refusal};
@@ -6,10 +6,10 @@
 use crate::prelude::*;
 
 impl Node {
-    /// Answers a keyed request from what is known of its key, or claims it.
+    /// Answers a keyed request from the ledger, or claims its key.
     pub(super) fn claim(&mut self, now: Time, request: attempt::Key, ask: &ledger::Ask) {
         if self.ledger.get(&ask.key).is_some() {
-            return self.answer_known(now, request);
+            return self.answer_from_ledger(now, request);
         }
         let reading = self.readings.get(&Stream::Ledger).copied().unwrap_or_default();
         if !reading.up {
@@ -29,8 +29,8 @@
         self.claims.insert(request, id);
     }
 
-    /// Answers a keyed request from what the ledger knows of its key.
-    fn answer_known(&mut self, now: Time, request: attempt::Key) {
+    /// Answers a keyed request from the ledger's entry for its key.
+    fn answer_from_ledger(&mut self, now: Time, request: attempt::Key) {
         let Some(ask) = self.requests.get(&request).and_then(|r| r.arrival.claim.clone()) else {
             return;
         };
@@ -55,38 +55,38 @@
             Found::Lost => self.refuse(now, request, Code::KeyOutcomeUnknown),
             Found::Claimed => {
                 let claimant = slot.claim.clone();
-                let running = self.is_running(now, &claimant);
+                let running = self.is_claimant_running(now, &claimant);
                 let code = if running { Code::KeyInProgress } else { Code::KeyOutcomeUnknown };
                 self.refuse(now, request, code);
             }
         }
     }
 
-    /// Whether the incarnation that made the claim still runs, as far as is known. One that was not heard has
-    /// ended only where this daemon has listened for as long as a digest counts.
-    fn is_running(&self, now: Time, claim: &ledger::ClaimId) -> bool {
+    /// Whether the daemon incarnation that made the claim is believed to run. One without a live digest
+    /// counts as ended once this daemon has been listening for the lifetime of a digest.
+    fn is_claimant_running(&self, now: Time, claim: &ledger::ClaimId) -> bool {
         if claim.daemon == self.identity.id {
             return self.pending.is_own(claim);
         }
-        let heard = self.fresh_peers(now).find(|digest| digest.daemon == claim.daemon);
-        match heard {
+        let digest = self.live_peers(now).find(|digest| digest.daemon == claim.daemon);
+        match digest {
             Some(digest) => digest.incarnation == claim.incarnation,
-            None => now < self.listens_since + self.policy.digest_lifetime,
+            None => now < self.listening_since + self.policy.digest_lifetime,
         }
     }
 
-    pub(super) fn ledger_steps(&mut self, now: Time, steps: Vec<Step>) {
+    pub(super) fn apply_ledger_steps(&mut self, now: Time, steps: Vec<Step>) {
         for step in steps {
             match step {
-                Step::Won(request) => self.claimed(now, request),
-                Step::Lost(request) => self.answer_known(now, request),
+                Step::Won(request) => self.claim_won(now, request),
+                Step::Lost(request) => self.answer_from_ledger(now, request),
                 Step::Unclaimed(request) => self.refuse(now, request, Code::LogUnavailable),
                 Step::Released => self.event(Event::ClaimReleased, Detail::none()),
             }
         }
     }
 
-    fn claimed(&mut self, now: Time, request: attempt::Key) {
+    fn claim_won(&mut self, now: Time, request: attempt::Key) {
         let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
@@ -94,19 +94,23 @@
         self.admit(now, request);
     }
 
-    /// Refuses a request, and releases its claim if no attempt of it may have run.
+    /// Refuses a request and releases its claim, unless an attempt may have run.
     pub(super) fn release_and_refuse(
         &mut self,
         now: Time,
         request: attempt::Key,
         refusal: Refusal,
     ) {
-        self.settle_claim(request, None);
+        self.record_claim_outcome(request, None);
         self.refuse(now, request, refusal);
     }
 
-    /// Notes on the ledger what came of a claimed request that ends now.
-    pub(super) fn settle_claim(&mut self, request: attempt::Key, receipt: Option<ledger::Receipt>) {
+    /// Records the outcome of a claimed request that ends now in the ledger.
+    pub(super) fn record_claim_outcome(
+        &mut self,
+        request: attempt::Key,
+        receipt: Option<ledger::Receipt>,
+    ) {
         let Some(state) = self.requests.get(&request) else {
             return;
         };
@@ -127,17 +131,17 @@
         });
     }
 
-    /// Gives up claims that took too long through the log.
+    /// Refuses requests whose claim has timed out or whose deadline has passed while claiming.
     pub(super) fn expire_claims(&mut self, now: Time) {
         let claim_timeout = self.policy.claim_timeout;
-        let stuck: Vec<attempt::Key> = self
+        let expired: Vec<attempt::Key> = self
             .requests
             .iter()
             .filter(|(_, state)| state.phase == Phase::Claiming)
             .filter(|(_, state)| now >= state.arrival.deadline.min(state.since + claim_timeout))
             .map(|(request, _)| *request)
             .collect();
-        for request in stuck {
+        for request in expired {
             self.event(Event::ClaimAbandoned, Detail::none());
             self.refuse(now, request, Code::LogUnavailable);
         }
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other: digests, and folded state for those that start or are behind.
+//! Messages between daemons: digests, and snapshots for daemons that start or are behind.
 
 use std::net::SocketAddr;
 
@@ -9,25 +9,27 @@
 use crate::peer::{Busy, Copy, Digest, Frame, Snapshot};
 use crate::prelude::*;
 
-/// First levels that a digest names.
-const DIGEST_LEVELS: usize = 32;
-/// Copies that a digest names.
-const DIGEST_COPIES: usize = 64;
-/// Time between two asks for a snapshot.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of first levels in a digest.
+const MAX_DIGEST_LEVELS: usize = 32;
+/// Maximum number of copies in a digest.
+const MAX_DIGEST_COPIES: usize = 64;
+/// Minimum time between two requests for a snapshot.
+const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
     pub(super) fn schedule_peers(&mut self, now: Time) {
         let listed: BTreeSet<String> = self.membership.routers().keys().cloned().collect();
         let lifetime = self.policy.digest_lifetime;
         self.copies.retain(|_, at| now.saturating_sub(*at) < lifetime);
-        self.peers.retain(|id, peer| listed.contains(id) || now.saturating_sub(peer.at) < lifetime);
+        self.peers.retain(|id, peer| {
+            listed.contains(id) || now.saturating_sub(peer.received_at) < lifetime
+        });
         if now >= self.next_digest {
             self.send_digests(now);
         }
-        if now >= self.next_ask && self.is_behind(now) {
-            self.next_ask = now + ASK_INTERVAL;
-            self.ask_for_snapshot(now);
+        if now >= self.next_snapshot_request && self.is_behind(now) {
+            self.next_snapshot_request = now + SNAPSHOT_REQUEST_INTERVAL;
+            self.request_snapshot(now);
         }
     }
 
@@ -65,7 +67,7 @@
             incarnation: self.identity.incarnation,
             generation: self.generation(),
             busy,
-            heat: self.heat.top(now, DIGEST_LEVELS),
+            heat: self.heat.top(now, MAX_DIGEST_LEVELS),
             copies: self.recent_copies(now),
             leaving,
             draining: self.draining,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The first levels that were sent somewhere within the lifetime of a digest.
+    /// First levels that this daemon sent to a server within the lifetime of a digest.
     fn recent_copies(&self, now: Time) -> Vec<Copy> {
         self.copies
             .iter()
@@ -84,18 +86,18 @@
                 let incarnation = server.incarnation.clone()?;
                 Some(Copy { level: *level, server: server.vm.id.clone(), incarnation })
             })
-            .take(DIGEST_COPIES)
+            .take(MAX_DIGEST_COPIES)
             .collect()
     }
 
-    /// Whether the log has not yet told this daemon what is in force or claimed, or a peer has a
-    /// newer manifest. A peer may know less of claims than this daemon: it counts how far it has read.
+    /// Whether this daemon lacks the manifest in force or claims, or a live peer has a newer manifest.
+    /// For claims only peers that have read more of the log are of use.
     fn is_behind(&self, now: Time) -> bool {
-        let newest = self.fresh_peers(now).map(|digest| digest.generation).max();
-        let manifest = self.force().is_none() || newest > Some(self.generation());
-        let ahead = self.fresh_peers(now).map(|digest| digest.ledger_next).max();
-        let claims = ahead.is_none_or(|ahead| ahead > self.ledger.next());
-        manifest || (claims && !self.is_ledger_known())
+        let newest = self.live_peers(now).map(|digest| digest.generation).max();
+        let needs_manifest = self.manifest_in_force().is_none() || newest > Some(self.generation());
+        let max_ledger_next = self.live_peers(now).map(|digest| digest.ledger_next).max();
+        let needs_claims = max_ledger_next.is_none_or(|next| next > self.ledger.next());
+        needs_manifest || (needs_claims && !self.is_ledger_known())
     }
 
     pub(super) fn is_ledger_known(&self) -> bool {
@@ -103,48 +105,49 @@
         reading.tail_at_start.is_some_and(|tail| self.ledger.next() >= tail)
     }
 
-    /// Asks the peer with the newest manifest, and of those the one that knows most claims; before any
-    /// digest has come, every peer.
-    fn ask_for_snapshot(&mut self, now: Time) {
+    /// Requests a snapshot from the live peer with the newest manifest that has read the most claims,
+    /// or from every peer before the first digest has come.
+    fn request_snapshot(&mut self, now: Time) {
         let newest = self
-            .fresh_peers(now)
+            .live_peers(now)
             .max_by_key(|digest| (digest.generation, digest.ledger_next))
             .map(|digest| digest.daemon.clone());
         for (id, address) in self.peer_addresses() {
             if newest.as_ref().is_none_or(|newest| *newest == id) {
-                let ask = Frame::Ask(self.identity.id.clone());
-                self.effects.push(Effect::Send(address, ask));
+                let frame = Frame::Ask(self.identity.id.clone());
+                self.effects.push(Effect::Send(address, frame));
             }
         }
     }
 
-    pub(super) fn frame(&mut self, now: Time, frame: Frame) {
+    pub(super) fn handle_frame(&mut self, now: Time, frame: Frame) {
         match frame {
-            Frame::Digest(digest) => self.take_digest(now, digest),
-            Frame::Ask(daemon) => self.answer_ask(now, &daemon),
-            Frame::Snapshot(snapshot) => self.take_snapshot(now, snapshot),
-            Frame::Poison(message) => self.poison_came(now, message),
+            Frame::Digest(digest) => self.handle_digest(now, digest),
+            Frame::Ask(daemon) => self.send_snapshot(now, &daemon),
+            Frame::Snapshot(snapshot) => self.merge_snapshot(now, snapshot),
+            Frame::Poison(message) => self.handle_poison_message(now, message),
         }
     }
 
-    fn take_digest(&mut self, now: Time, digest: Digest) {
+    fn handle_digest(&mut self, now: Time, digest: Digest) {
         if digest.daemon == self.identity.id {
             return;
         }
         for id in &digest.leaving {
             let notices = self.membership.leaves(id).into_iter().collect();
-            self.notices(now, notices);
+            self.apply_notices(now, notices);
         }
-        // Told again, and by others, it is no news: all of them would have it asked for at every tick.
-        let heard = self.fresh_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
-        if digest.generation > self.generation().max(heard) {
-            self.next_ask = now;
+        // Only the first digest with a new generation counts, or repeats would cause a request at every tick.
+        let max_peer_generation =
+            self.live_peers(now).map(|digest| digest.generation).max().unwrap_or(0);
+        if digest.generation > self.generation().max(max_peer_generation) {
+            self.next_snapshot_request = now;
         }
-        self.hear_blocked(now, &digest.blocked);
-        self.peers.insert(digest.daemon.clone(), Peer { digest, at: now });
+        self.merge_blocks(now, &digest.blocked);
+        self.peers.insert(digest.daemon.clone(), Peer { digest, received_at: now });
     }
 
-    fn answer_ask(&mut self, now: Time, daemon: &str) {
+    fn send_snapshot(&mut self, now: Time, daemon: &str) {
         let Some(vm) = self.membership.routers().get(daemon) else {
             return;
         };
@@ -153,10 +156,10 @@
         self.effects.push(Effect::Send(address, Frame::Snapshot(snapshot)));
     }
 
-    /// This daemon's folded state.
+    /// A snapshot of this daemon's folded state.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let slots: Vec<(&ledger::Key, &ledger::Slot)> = self.ledger.iter().collect();
-        let force = self.force();
+        let force = self.manifest_in_force();
         let json = |force: &Arc<manifest::Force>| serde_json::to_string(&force.manifest).ok();
         Snapshot {
             manifest_next: self.manifest.next(),
@@ -170,18 +173,18 @@
         }
     }
 
-    /// Takes over what is ahead of this daemon in a peer's folded state.
-    fn take_snapshot(&mut self, now: Time, snapshot: Snapshot) {
-        let mut taken = Vec::new();
-        self.hear_blocked(now, &snapshot.blocked);
+    /// Merges the parts of a peer's snapshot that are ahead of this daemon's state.
+    fn merge_snapshot(&mut self, now: Time, snapshot: Snapshot) {
+        let mut merged = Vec::new();
+        self.merge_blocks(now, &snapshot.blocked);
         if let Ok(manifest) = manifest::parse(snapshot.manifest.as_bytes()) {
             let force = manifest::Force::new(snapshot.generation, snapshot.published, manifest);
             let force = Arc::new(force);
-            self.force_told |= snapshot.generation >= self.manifest.generation();
+            self.has_peer_manifest |= snapshot.generation >= self.manifest.generation();
             if self.manifest.merge(snapshot.manifest_next, Some(force)) {
-                taken.push("manifest");
+                merged.push("manifest");
             }
-            self.put_in_force(now);
+            self.apply_manifest(now);
         }
         let slots: Result<Vec<(ledger::Key, ledger::Slot)>, _> =
             serde_json::from_str(&snapshot.ledger);
@@ -192,10 +195,10 @@
             self.ledger =
                 ledger::State::rebuild(snapshot.ledger_next, snapshot.ledger_time_ms, slots);
             self.resolve_claims(now);
-            taken.push("ledger");
+            merged.push("ledger");
         }
-        if !taken.is_empty() {
-            self.event(Event::SnapshotTaken, Detail::of("state", taken.join(" and ")));
+        if !merged.is_empty() {
+            self.event(Event::SnapshotTaken, Detail::of("state", merged.join(" and ")));
         }
     }
 }
