--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving one connection, strictly.
+//! Serves one connection with strict validation of requests.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,13 +8,13 @@
 use http_types::{Method, Request, Response, StatusCode};
 
 use super::Socket;
-use super::body::{self, Cut, Framing};
+use super::body::{self, Framing, ReadError};
 use crate::prelude::*;
 
-/// Largest number of request headers.
+/// Maximum number of request headers.
 pub const MAX_HEADERS: usize = 64;
 
-const MALFORMED: &str = concat!(
+const MALFORMED_ANSWER: &str = concat!(
     "HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-type: application/json\r\n",
     "x-cardamomvalve-execution: not-run\r\nx-cardamomvalve-code: 1001\r\ncontent-length: 112\r\n\r\n",
     "{\"error\":{\"code\":1001,\"message\":\"The request head is not well-formed.\",",
@@ -23,14 +23,14 @@
 
 /// Serves requests on `socket` one after another until it closes or fails.
 ///
-/// `endpoint` is given each request, its body still unread.
+/// `endpoint` receives each request with its body unread.
 pub async fn serve<F, Fut>(socket: Socket, endpoint: F) -> http_types::Result<()>
 where
     F: Fn(Request, Socket) -> Fut,
     Fut: Future<Output = http_types::Result<Response>>,
 {
     loop {
-        socket.begin();
+        socket.begin_exchange();
         let read = AtomicBool::new(false);
         let mut server = Server::new(socket.clone(), |request| {
             read.store(true, Ordering::Release);
@@ -50,17 +50,17 @@
     }
 }
 
-/// Answers a head that the library could not read, unless an answer has already begun.
+/// Answers a head that the library could not parse, unless an answer has already started.
 async fn answer_malformed(socket: &Socket) {
-    if socket.written() == 0 && socket.has_bytes() {
+    if socket.bytes_written() == 0 && socket.has_bytes() {
         let mut socket = socket.clone();
-        socket.write_all(MALFORMED.as_bytes()).await.ok();
+        socket.write_all(MALFORMED_ANSWER.as_bytes()).await.ok();
     }
 }
 
-/// A request whose body has been read whole.
+/// A request whose body has been read completely.
 #[derive(Debug)]
-pub struct Whole {
+pub struct Received {
     /// The head.
     pub request: Request,
     /// The body.
@@ -69,23 +69,27 @@
     pub close: bool,
 }
 
-/// Checks the head of `request` and reads its body of at most `limit` bytes.
-pub async fn read(mut request: Request, socket: &Socket, limit: u64) -> Result<Whole> {
+/// Validates the head of `request` and reads its body of at most `limit` bytes.
+pub async fn read(mut request: Request, socket: &Socket, limit: u64) -> Result<Received> {
     check_head(&request)?;
     let framing = body::framing(request.as_ref())?;
     let body = match framing {
         Framing::Absent => Vec::new(),
-        _ => body::read(request.take_body(), framing, limit).await.map_err(|cut| match cut {
-            Cut::TooLarge => Error::new(Code::BodyTooLarge, format!("the limit is {limit} bytes")),
-            Cut::Short(reason) => Error::new(Code::BodyTruncated, reason),
-        })?,
+        _ => {
+            body::read(request.take_body(), framing, limit).await.map_err(|error| match error {
+                ReadError::TooLarge => {
+                    Error::new(Code::BodyTooLarge, format!("the limit is {limit} bytes"))
+                }
+                ReadError::Truncated(reason) => Error::new(Code::BodyTruncated, reason),
+            })?
+        }
     };
     let close = is_pipelined(socket, framing);
-    Ok(Whole { request, body, close })
+    Ok(Received { request, body, close })
 }
 
-/// Whether bytes beyond this request were read; the library would lose them. What follows a
-/// chunked body can't be told, so its connection always closes.
+/// Returns whether bytes beyond this request were read, which the library would lose. After a
+/// chunked body this cannot be determined, so its connection always closes.
 fn is_pipelined(socket: &Socket, framing: Framing) -> bool {
     match framing {
         Framing::Chunked => true,
@@ -113,7 +117,7 @@
     Ok(())
 }
 
-/// An answer with a JSON body.
+/// Creates an answer with a JSON body.
 pub fn json(status: u16, body: &serde_json::Value) -> Response {
     let mut response = empty(status);
     response.set_body(body.to_string());
@@ -121,7 +125,7 @@
     response
 }
 
-/// An answer with a plain-text body.
+/// Creates an answer with a text body.
 pub fn text(status: u16, body: String, content_type: &str) -> Response {
     let mut response = empty(status);
     response.set_body(body);
@@ -129,7 +133,7 @@
     response
 }
 
-/// An answer without a body.
+/// Creates an answer without a body.
 pub fn empty(status: u16) -> Response {
     Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError))
 }
--- /dev/null
+++ b/src/relay/delivery.rs
@@ -0,0 +1,351 @@
+//! Delivery of one request: its attempts at backend servers and its outcome.
+
+use std::net::TcpStream;
+use std::sync::OnceLock;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+use async_channel::Receiver;
+use async_io::Async;
+use futures_lite::{AsyncWriteExt, FutureExt};
+
+use super::answer::{encode_answer, encode_stream_head, push_chunk};
+use super::exchange::{self, Answer, Failure};
+use super::{Classification, Cut, Events, Frontend, Metadata, Request, Response, head};
+use crate::fleet::{Arrival, Command, Dispatch, Key, Loss, Message, Refusal, Report};
+use crate::poison::Fingerprint;
+use crate::prelude::*;
+use crate::route::{Route, Workspace};
+
+/// Maximum size of an answer that is buffered completely before it is forwarded.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Retry-after time for a request that the control thread, having stopped, did not accept.
+const CONTROL_STOPPED_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Outcome of a request.
+pub(super) enum Outcome {
+    /// A complete answer was sent; the connection can be reused.
+    Answered,
+    /// The answer was truncated; the connection cannot be reused.
+    Truncated,
+    /// The caller disconnected.
+    Disconnected,
+    /// The request ends with this code and retry-after time.
+    Code(Code, Option<Duration>),
+    /// The backend server's own error answer is forwarded.
+    ServerFailure(Box<(Response, Vec<u8>)>),
+}
+
+/// Progress of a request, shared with the code that runs concurrently with its attempt.
+#[derive(Debug, Default)]
+pub(super) struct Progress {
+    /// Whether a byte may have reached a server that has not refused the request.
+    sent: AtomicBool,
+    /// Whether writing the answer to the caller has started.
+    answer_started: AtomicBool,
+    /// Whether the current attempt has started to write to the caller.
+    attempt_writing: AtomicBool,
+    /// The time at which the first byte of the answer was written.
+    first_byte: OnceLock<Time>,
+}
+
+impl Progress {
+    /// Records that the current attempt is about to write to the caller.
+    fn record_write(&self, now: Time) {
+        self.first_byte.get_or_init(|| now);
+        self.answer_started.store(true, Ordering::Release);
+        self.attempt_writing.store(true, Ordering::Release);
+    }
+
+    /// Returns the time at which the first byte of the answer was written.
+    pub(super) fn first_byte(&self) -> Option<Time> {
+        self.first_byte.get().copied()
+    }
+}
+
+/// The delivery of one request.
+pub(super) struct Delivery<'a> {
+    pub(super) frontend: &'a Frontend,
+    pub(super) request: &'a Request,
+    pub(super) body: &'a [u8],
+    pub(super) metadata: Metadata,
+    pub(super) route: Arc<Route>,
+    pub(super) workspace: Option<Arc<Workspace>>,
+    pub(super) key: Key,
+    /// The time at which the caller stops waiting.
+    pub(super) deadline: Time,
+    pub(super) progress: Progress,
+}
+
+impl Drop for Delivery<'_> {
+    fn drop(&mut self) {
+        self.frontend.control.tell(Message::Cancel(self.key));
+    }
+}
+
+impl Delivery<'_> {
+    /// Returns the outcome of a request that reaches its time limit.
+    pub(super) fn on_timeout(&self) -> Outcome {
+        if self.progress.answer_started.load(Ordering::Acquire) {
+            return Outcome::Truncated;
+        }
+        match self.progress.sent.load(Ordering::Acquire) {
+            true => Outcome::Code(Code::AnswerTimeout, None),
+            false => Outcome::Code(Code::DeadlinePassed, None),
+        }
+    }
+
+    pub(super) async fn run(&self, writer: &Async<TcpStream>) -> Outcome {
+        let commands = self.frontend.control.open(Arrival {
+            request: self.key,
+            id: self.metadata.id.clone(),
+            route: Arc::clone(&self.route),
+            workspace: self.workspace.clone(),
+            deadline: self.deadline,
+            prompt: self.metadata.prompt.clone(),
+            fingerprint: self.fingerprint(),
+        });
+        let mut events = Events::after(self.metadata.last_event_id);
+        let mut failure = None;
+        let mut next = None;
+        loop {
+            let command = match next.take() {
+                Some(command) => Some(command),
+                None => commands.recv().await.ok(),
+            };
+            let Some(command) = command else {
+                // The control thread has stopped.
+                return match self.progress.sent.load(Ordering::Acquire) {
+                    true => self.failed_outcome(failure),
+                    false => Outcome::Code(Code::NoServer, Some(CONTROL_STOPPED_RETRY_AFTER)),
+                };
+            };
+            let dispatch = match command {
+                Command::Dispatch(dispatch) => dispatch,
+                Command::Refuse(code, after) => return Outcome::Code(code, Some(after)),
+                Command::GiveUp => return self.failed_outcome(failure),
+            };
+            self.progress.attempt_writing.store(false, Ordering::Release);
+            let superseded = self.superseded(&commands, &mut next);
+            let attempt = self.attempt(writer, &dispatch, &mut events).or(superseded).await;
+            let report = match attempt {
+                Attempt::Ended(outcome) => {
+                    self.send_report(&dispatch, Report::Ended);
+                    return outcome;
+                }
+                Attempt::CallerDisconnected => return Outcome::Disconnected,
+                Attempt::Superseded => continue,
+                Attempt::Failed(answer) => {
+                    failure = Some(answer);
+                    Report::Failed
+                }
+                Attempt::Unanswered(report) => report,
+            };
+            if matches!(report, Report::Refused(_) | Report::Unsent) && dispatch.attempt == 1 {
+                self.progress.sent.store(false, Ordering::Release);
+            }
+            self.send_report(&dispatch, report);
+        }
+    }
+
+    /// Waits for a command that supersedes the current attempt and stores it in `next`. An attempt
+    /// that has started to write to the caller is not interrupted, since the next attempt's output
+    /// would follow a partial write. In that case the command applies only if the attempt fails.
+    async fn superseded(
+        &self,
+        commands: &Receiver<Command>,
+        next: &mut Option<Command>,
+    ) -> Attempt {
+        *next = commands.recv().await.ok();
+        if next.is_none() || self.progress.attempt_writing.load(Ordering::Acquire) {
+            std::future::pending::<()>().await;
+        }
+        Attempt::Superseded
+    }
+
+    fn fingerprint(&self) -> Fingerprint {
+        let workspace = self.workspace.as_ref().map_or("", |workspace| workspace.name.as_str());
+        Fingerprint::of(workspace, &self.request.method, &self.request.target, self.body)
+    }
+
+    fn failed_outcome(&self, failure: Option<Box<(Response, Vec<u8>)>>) -> Outcome {
+        if self.progress.answer_started.load(Ordering::Acquire) {
+            return Outcome::Truncated;
+        }
+        match failure {
+            Some(answer) => Outcome::ServerFailure(answer),
+            None => Outcome::Code(Code::OutcomeUnknown, None),
+        }
+    }
+
+    fn send_report(&self, dispatch: &Dispatch, report: Report) {
+        let (request, attempt) = (self.key, dispatch.attempt);
+        self.frontend.control.tell(Message::Report { request, attempt, report });
+    }
+
+    /// Encodes the complete message for a backend server.
+    fn encode_request(&self, dispatch: &Dispatch, events: &Events) -> Vec<u8> {
+        let remaining = self
+            .metadata
+            .timeout
+            .map(|_| self.deadline.saturating_sub(self.frontend.control.clock.now()));
+        let workspace = self.workspace.as_deref();
+        let fields = self.frontend.dialect.forwarded_fields(
+            self.request,
+            &self.metadata,
+            workspace,
+            dispatch,
+            remaining,
+            events.last_id(),
+        );
+        let length = self.body.len().to_string();
+        let has_body = !self.body.is_empty() || self.request.method != "GET";
+        let framing = has_body.then_some(("Content-Length", length.as_str()));
+        let first_line = format!("{} {} HTTP/1.1", self.request.method, self.request.target);
+        let mut message = head::encode(&first_line, fields.iter().chain(framing)).into_bytes();
+        message.extend_from_slice(self.body);
+        message
+    }
+
+    async fn attempt(
+        &self,
+        writer: &Async<TcpStream>,
+        dispatch: &Dispatch,
+        events: &mut Events,
+    ) -> Attempt {
+        let message = self.encode_request(dispatch, events);
+        let answers_head = self.request.method == "HEAD";
+        let on_send = || self.progress.sent.store(true, Ordering::Release);
+        let pool = &self.frontend.pool;
+        let sent = exchange::send(pool, dispatch.address, &message, answers_head, on_send).await;
+        let answer = match sent {
+            Ok(answer) => answer,
+            Err(Failure::Unsent(_)) => return Attempt::Unanswered(Report::Unsent),
+            Err(Failure::Lost(cut)) => return Attempt::Unanswered(Report::Lost(loss(&cut))),
+        };
+        match self.frontend.dialect.classify(&self.metadata, &answer.response) {
+            Classification::Invalid => Attempt::Unanswered(Report::Lost(Loss::InvalidAnswer)),
+            Classification::Refused(refusal) => {
+                self.finish_refused(dispatch, answer, refusal).await
+            }
+            Classification::Answer(weights)
+                if self.route.streams && answer.response.status == 200 =>
+            {
+                self.relay_stream(writer, dispatch, answer, weights, events).await
+            }
+            Classification::Answer(weights) => {
+                self.relay_whole(writer, dispatch, answer, weights).await
+            }
+        }
+    }
+
+    async fn finish_refused(
+        &self,
+        dispatch: &Dispatch,
+        mut answer: Answer,
+        refusal: Refusal,
+    ) -> Attempt {
+        if answer.read_whole(MAX_ANSWER_BYTES).await.is_ok() {
+            answer.release(&self.frontend.pool, dispatch.max_idle);
+        }
+        Attempt::Unanswered(Report::Refused(refusal))
+    }
+
+    /// Buffers an answer and forwards it once it is complete; a truncated one is not forwarded.
+    async fn relay_whole(
+        &self,
+        writer: &Async<TcpStream>,
+        dispatch: &Dispatch,
+        mut answer: Answer,
+        weights: Option<u64>,
+    ) -> Attempt {
+        self.send_report(dispatch, Report::Begun(weights));
+        let body = match answer.read_whole(MAX_ANSWER_BYTES).await {
+            Ok(body) => body,
+            Err(cut) => return Attempt::Unanswered(Report::Lost(loss(&cut))),
+        };
+        let response = answer.response.clone();
+        answer.release(&self.frontend.pool, dispatch.max_idle);
+        if response.status >= 500 {
+            return Attempt::Failed(Box::new((response, body)));
+        }
+        let close = self.frontend.control.is_draining();
+        self.progress.record_write(self.frontend.control.clock.now());
+        let mut writer = writer;
+        match writer.write_all(&encode_answer(&response, &body, close)).await {
+            Ok(()) => Attempt::Ended(Outcome::Answered),
+            Err(_) => Attempt::CallerDisconnected,
+        }
+    }
+
+    /// Forwards a stream in complete events.
+    async fn relay_stream(
+        &self,
+        mut writer: &Async<TcpStream>,
+        dispatch: &Dispatch,
+        mut answer: Answer,
+        weights: Option<u64>,
+        events: &mut Events,
+    ) -> Attempt {
+        events.discard_partial();
+        let mut started = false;
+        let mut bytes = Vec::new();
+        loop {
+            bytes.clear();
+            let more = match answer.read(&mut bytes).await {
+                Ok(more) => more,
+                Err(cut) => return Attempt::Unanswered(Report::Lost(loss(&cut))),
+            };
+            let mut whole = events.feed(&bytes);
+            if !more || answer.decoder.is_complete() {
+                whole.extend_from_slice(&events.take_partial());
+            }
+            if !started && !whole.is_empty() {
+                started = true;
+                self.send_report(dispatch, Report::Begun(weights));
+            }
+            let complete = !more || answer.decoder.is_complete();
+            let mut out = Vec::with_capacity(whole.len() + 512);
+            if (complete || !whole.is_empty())
+                && !self.progress.answer_started.load(Ordering::Acquire)
+            {
+                let close = self.frontend.control.is_draining();
+                out.extend_from_slice(encode_stream_head(&answer.response, close).as_bytes());
+            }
+            push_chunk(&mut out, &whole);
+            if complete {
+                out.extend_from_slice(b"0\r\n\r\n");
+            }
+            if !out.is_empty() {
+                self.progress.record_write(self.frontend.control.clock.now());
+            }
+            if writer.write_all(&out).await.is_err() {
+                return Attempt::CallerDisconnected;
+            }
+            if complete {
+                answer.release(&self.frontend.pool, dispatch.max_idle);
+                return Attempt::Ended(Outcome::Answered);
+            }
+        }
+    }
+}
+
+fn loss(cut: &Cut) -> Loss {
+    match cut {
+        Cut::Closed | Cut::Broken(_) => Loss::Connection,
+        Cut::Malformed(_) | Cut::TooLarge => Loss::InvalidAnswer,
+    }
+}
+
+/// Outcome of one attempt.
+enum Attempt {
+    /// The request ended with this outcome.
+    Ended(Outcome),
+    /// Writing to the caller failed.
+    CallerDisconnected,
+    /// A command from the control thread superseded the attempt.
+    Superseded,
+    /// The server answered with an error.
+    Failed(Box<(Response, Vec<u8>)>),
+    /// The attempt ended without an answer to forward.
+    Unanswered(Report),
+}
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,27 +1,27 @@
-//! Requests and answers passed on byte for byte over HTTP/1.1.
+//! Byte-for-byte relay of requests and answers over HTTP/1.1.
 //!
 //! The parser is `httparse`. `async-h1`, which the rest of the program uses, does not read from a
-//! caller while it answers, reads an answer that ends with its connection as empty, and takes a
-//! body that was cut short for a whole one; see `docs/HOUSE-STYLE.md`.
+//! caller while it answers, treats an answer delimited by connection close as empty, and accepts a
+//! truncated body as complete; see `docs/HOUSE-STYLE.md`.
 
 mod answer;
 mod body;
 mod caller;
 mod conn;
+mod delivery;
 mod dialect;
 mod drain;
 mod events;
 mod exchange;
 mod head;
-mod passage;
 mod pool;
 #[cfg(test)]
 mod tests;
 
 pub use body::{Decoder, Framing};
-pub use caller::{Entry, serve};
+pub use caller::{Frontend, serve};
 pub use conn::{Conn, Cut};
-pub use dialect::{Ask, Dialect, Verdict};
+pub use dialect::{Classification, Dialect, Metadata};
 pub use drain::drain;
 pub use events::Events;
 pub use exchange::{Answer, Call, Failure, fetch, probe};
