--- a/src/fleet/tests/admission.rs
+++ b/src/fleet/tests/admission.rs
@@ -17,7 +17,7 @@
 
 /// A daemon whose only server is full, and the request that frees a slot when it ends.
 fn full_server() -> (Daemon, Key) {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let (first, _) = daemon.arrive(ms(10), &route, None);
     daemon.arrive(ms(10), &route, None);
@@ -138,7 +138,7 @@
 #[test]
 fn prompt_goes_to_idle_engine_after_waiting_for_home() {
     let engines = [("e-1", "engine 21 ready 1"), ("e-2", "engine 22 ready 1")];
-    let mut daemon = Daemon::with(1, &engines);
+    let mut daemon = Daemon::with_servers(1, &engines);
     let route = route("engines", Repeat::Resumable, 2);
     let mut homes = BTreeSet::new();
     for number in 0..8 {
@@ -162,7 +162,7 @@
 #[test]
 fn small_prompt_is_sent_to_engine_where_large_one_waits() {
     // The engine has 320 ms of prompts to read, which is more than half of the target of 600 ms.
-    let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1")]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", "engine 21 ready 1")]);
     let busy = Workload { running: 3, pending_tokens: 16_000, ..Workload::default() };
     let digest = Digest {
         daemon: "router-2".into(),
@@ -183,7 +183,7 @@
 #[test]
 fn overload_is_refused_mostly_on_arrival() {
     // Two slots, 100 ms per request, and ten times as many requests as they can serve.
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let mut running: Vec<(Time, Key, u32)> = Vec::new();
     let mut arrived: BTreeMap<Key, Time> = BTreeMap::new();
--- a/src/fleet/tests/beliefs/carriage.rs
+++ b/src/fleet/tests/beliefs/carriage.rs
@@ -165,10 +165,10 @@
         let now = self.now;
         let Some(daemon) = &mut self.vms[vm].daemon else { return };
         let effects = daemon.node.apply(now, message);
-        self.carry(vm, effects);
+        self.execute_effects(vm, effects);
     }
 
-    pub(super) fn carry(&mut self, vm: usize, effects: Vec<Effect>) {
+    pub(super) fn execute_effects(&mut self, vm: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(to, frame) => self.send(vm, &to, &frame),
@@ -284,7 +284,7 @@
         let now = self.now;
         let Some(daemon) = &mut self.vms[vm].daemon else { return };
         let (_, effects) = daemon.arrive(now, &route(pool, Repeat::Resumable, 2), wanted);
-        self.carry(vm, effects);
+        self.execute_effects(vm, effects);
     }
 
     /// A daemon sends a request to a server: one that it may still go to, as far as that could be known.
--- a/src/fleet/tests/beside.rs
+++ b/src/fleet/tests/beside.rs
@@ -121,7 +121,7 @@
         let mut next_fatal: Vec<Time> =
             (0..trouble.culprits).map(|n| self.site.now + ms(300 * n)).collect();
         while self.site.now < end {
-            self.site.pass(STEP);
+            self.site.advance(STEP);
             let now = self.site.now;
             if self.rng.u32(0..100) < 90 {
                 self.ask_of_its_own();
@@ -190,7 +190,7 @@
     /// Does what daemons told traffic.
     fn obey(&mut self) {
         loop {
-            let told = self.site.take_told();
+            let told = self.site.take_commands();
             if told.is_empty() {
                 return;
             }
@@ -204,7 +204,7 @@
         let now = self.site.now;
         match command {
             Command::Dispatch(dispatch) => {
-                if self.site.ended.contains(&dispatch.address) {
+                if self.site.crashed_servers.contains(&dispatch.address) {
                     return self.site.report(daemon, key, dispatch.attempt, Report::Unsent);
                 }
                 let begins = now + ms(self.rng.u64(20..60));
@@ -275,12 +275,12 @@
         for engine in due {
             self.next += 1;
             let former = self.names.insert(engine, format!("e-{engine}-{}", self.next));
-            self.site.ended.remove(&address(101 + engine));
+            self.site.crashed_servers.remove(&address(101 + engine));
             let value = format!("engine {} ready 1", 101 + engine);
             let name = self.names[&engine].clone();
             for daemon in &mut self.site.daemons {
                 let records = [(former.as_deref().unwrap_or_default(), ""), (&name, &value)];
-                daemon.put(now, Topic::Servers, &records);
+                daemon.deliver_records(now, Topic::Servers, &records);
             }
         }
     }
@@ -320,7 +320,7 @@
 
     /// Ends an engine, and with it all that runs there.
     fn end(&mut self, at: SocketAddr) {
-        if !self.site.ended.insert(at) {
+        if !self.site.crashed_servers.insert(at) {
             return;
         }
         self.tally.ended += 1;
--- a/src/fleet/tests/catalog.rs
+++ b/src/fleet/tests/catalog.rs
@@ -60,24 +60,28 @@
 
 #[test]
 fn table_older_version_is_ignored() {
-    let mut daemon = Daemon::with(1, &[]);
+    let mut daemon = Daemon::with_servers(1, &[]);
     let is_table = |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::Table(_)));
-    assert!(is_table(&daemon.put(ms(1), Topic::Operator, &[("config", "table 9")])));
-    assert!(!is_table(&daemon.put(ms(2), Topic::Operator, &[("config", "table 8")])));
+    assert!(is_table(&daemon.deliver_records(ms(1), Topic::Operator, &[("config", "table 9")])));
+    assert!(!is_table(&daemon.deliver_records(ms(2), Topic::Operator, &[("config", "table 8")])));
 }
 
 #[test]
 fn unreadable_registration_removes_only_its_server() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    let mut daemon =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let logged = |effects: &[Effect]| {
         let unreadable =
             |effect: &&Effect| matches!(effect, Effect::Event(Event::RecordUnreadable, _));
         effects.iter().filter(unreadable).count()
     };
     // Logged once, however often another writer repeats it.
-    assert_eq!(logged(&daemon.put(ms(10), Topic::Servers, &[("s-1", "nonsense")])), 1);
-    assert_eq!(logged(&daemon.put(ms(20), Topic::Servers, &[("s-1", "nonsense")])), 0);
-    assert_eq!(logged(&daemon.put(ms(30), Topic::Servers, &[("s-9", "plain x ready")])), 1);
+    assert_eq!(logged(&daemon.deliver_records(ms(10), Topic::Servers, &[("s-1", "nonsense")])), 1);
+    assert_eq!(logged(&daemon.deliver_records(ms(20), Topic::Servers, &[("s-1", "nonsense")])), 0);
+    assert_eq!(
+        logged(&daemon.deliver_records(ms(30), Topic::Servers, &[("s-9", "plain x ready")])),
+        1
+    );
     let route = route("plain", Repeat::AtMostOnce, 1);
     for at in 40..44 {
         let (request, effects) = daemon.arrive(ms(at), &route, None);
@@ -85,15 +89,15 @@
         daemon.node.apply(ms(at), Message::Cancel(request));
     }
     // The server's next valid registration restores it.
-    daemon.put(ms(50), Topic::Servers, &[("s-1", "plain 11 ready"), ("s-2", "")]);
+    daemon.deliver_records(ms(50), Topic::Servers, &[("s-1", "plain 11 ready"), ("s-2", "")]);
     let (_, effects) = daemon.arrive(ms(60), &route, None);
     assert_eq!(dispatch(&effects).server, "s-1");
-    assert_eq!(logged(&daemon.put(ms(70), Topic::Servers, &[("s-1", "nonsense")])), 1);
+    assert_eq!(logged(&daemon.deliver_records(ms(70), Topic::Servers, &[("s-1", "nonsense")])), 1);
 }
 
 #[test]
 fn unreadable_registration_from_a_peer_keeps_other_servers() {
-    let mut daemon = Daemon::with(1, &[]);
+    let mut daemon = Daemon::with_servers(1, &[]);
     let records =
         vec![record("s-1", 0, Some("nonsense")), record("s-2", 1, Some("plain 12 ready"))];
     let batch = Batch { topic: Topic::Servers, from: 0, to: 2, records };
@@ -104,8 +108,8 @@
 
 #[test]
 fn unreadable_record_changes_nothing() {
-    let mut daemon = Daemon::with(1, &[]);
-    let effects = daemon.put(ms(1), Topic::Operator, &[("config", "nonsense")]);
+    let mut daemon = Daemon::with_servers(1, &[]);
+    let effects = daemon.deliver_records(ms(1), Topic::Operator, &[("config", "nonsense")]);
     assert!(matches!(effects.as_slice(), [Effect::Event(Event::RecordUnreadable, _)]));
     assert!(daemon.node.is_ready());
 }
--- a/src/fleet/tests/deadly.rs
+++ b/src/fleet/tests/deadly.rs
@@ -53,7 +53,7 @@
 /// Requests come until some time after the fault.
 fn requests_come(crowd: &mut Crowd, until: Time, fault: Fault) {
     while crowd.site.now < until {
-        crowd.site.pass(STEP);
+        crowd.site.advance(STEP);
         for _ in 0..2 {
             if crowd.rng.f64() >= COMES {
                 continue;
@@ -160,7 +160,7 @@
     let start = crowd.site.now;
     let mut next = [start + ms(500), start + ms(crowd.rng.u64(500..5_000))];
     while crowd.site.now < start + ms(20_000) {
-        crowd.site.pass(STEP);
+        crowd.site.advance(STEP);
         for _ in 0..2 {
             if crowd.rng.f64() < COMES {
                 crowd.ask_of_its_own();
--- a/src/fleet/tests/lives.rs
+++ b/src/fleet/tests/lives.rs
@@ -16,14 +16,14 @@
 
 #[test]
 fn next_incarnation_inherits_nothing() {
-    let mut daemon = Daemon::with(1, &[FORMER]);
+    let mut daemon = Daemon::with_servers(1, &[FORMER]);
     let route = route("engines", Repeat::AtMostOnce, 1);
     let (request, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 1)));
     assert_eq!(dispatch(&effects).server, "e-1");
     daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     let (_, effects) = daemon.arrive(ms(30), &route, Some(prompt(7, 1)));
     assert!(commands(&effects).is_empty(), "the only server is in backoff");
-    let effects = daemon.put(ms(40), Topic::Servers, &[NEXT]);
+    let effects = daemon.deliver_records(ms(40), Topic::Servers, &[NEXT]);
     assert!(effects.contains(&Effect::Disconnect(address(21))), "{effects:?}");
     assert_eq!(dispatch(&effects).server, "e-1", "the backoff ends with the former incarnation");
     assert_eq!(metric_values(&mut daemon, ms(41), "running"), ["1"]);
@@ -32,21 +32,21 @@
 
 #[test]
 fn former_incarnation_changes_nothing() {
-    let mut daemon = Daemon::with(1, &[FORMER, NEXT]);
+    let mut daemon = Daemon::with_servers(1, &[FORMER, NEXT]);
     let route = route("engines", Repeat::AtMostOnce, 1);
-    daemon.put(ms(10), Topic::Servers, &[("e-1", "engine 99 draining 1 born:1000")]);
+    daemon.deliver_records(ms(10), Topic::Servers, &[("e-1", "engine 99 draining 1 born:1000")]);
     let (_, effects) = daemon.arrive(ms(20), &route, Some(prompt(7, 1)));
     assert_eq!(dispatch(&effects).address, address(21));
     // The same holds after its registration is removed.
-    daemon.put(ms(30), Topic::Servers, &[("e-1", "")]);
-    daemon.put(ms(40), Topic::Servers, &[FORMER]);
+    daemon.deliver_records(ms(30), Topic::Servers, &[("e-1", "")]);
+    daemon.deliver_records(ms(40), Topic::Servers, &[FORMER]);
     let (_, effects) = daemon.arrive(ms(50), &route, Some(prompt(7, 1)));
     assert!(commands(&effects).is_empty());
 }
 
 #[test]
 fn peer_load_of_the_former_incarnation_does_not_count_for_the_next() {
-    let mut daemon = Daemon::with(1, &[FORMER]);
+    let mut daemon = Daemon::with_servers(1, &[FORMER]);
     let busy = Workload { running: 48, pending_tokens: 900_000, ..Workload::default() };
     let digest = Digest {
         daemon: "router-2".into(),
@@ -57,7 +57,7 @@
     daemon.node.apply(ms(10), Message::Frame(Frame::Digest(Box::new(digest.clone()))));
     daemon.tick(ms(11));
     assert_eq!(metric_values(&mut daemon, ms(12), "running"), ["48"]);
-    daemon.put(ms(20), Topic::Servers, &[NEXT]);
+    daemon.deliver_records(ms(20), Topic::Servers, &[NEXT]);
     daemon.node.apply(ms(25), Message::Frame(Frame::Digest(Box::new(digest))));
     daemon.tick(ms(30));
     assert_eq!(metric_values(&mut daemon, ms(31), "running"), ["0"]);
@@ -65,7 +65,7 @@
 
 #[test]
 fn repeatable_requests_of_the_former_incarnation_are_resent() {
-    let mut daemon = Daemon::with(1, &[FORMER, ("e-2", "engine 22 ready 1 born:1000")]);
+    let mut daemon = Daemon::with_servers(1, &[FORMER, ("e-2", "engine 22 ready 1 born:1000")]);
     let (mut at_former, mut moved) = (Vec::new(), Vec::new());
     for subject in 0..8 {
         let route = route("engines", Repeat::Resumable, 2);
@@ -75,7 +75,7 @@
         }
     }
     assert!(!at_former.is_empty());
-    for effect in daemon.put(ms(50), Topic::Servers, &[NEXT]) {
+    for effect in daemon.deliver_records(ms(50), Topic::Servers, &[NEXT]) {
         if let Effect::Command(key, Command::Dispatch(_)) = effect {
             moved.push(key);
         }
@@ -85,8 +85,8 @@
 
 #[test]
 fn orders_expect_the_order_count_of_the_target_incarnation() {
-    let mut daemon = Daemon::with(1, &[FORMER]);
-    daemon.put(ms(10), Topic::Operator, &[("w", "weights 2")]);
+    let mut daemon = Daemon::with_servers(1, &[FORMER]);
+    daemon.deliver_records(ms(10), Topic::Operator, &[("w", "weights 2")]);
     let mut expected_counts = Vec::new();
     let mut lease = 0;
     let mut key = None;
@@ -120,7 +120,7 @@
 
 #[test]
 fn report_of_the_former_incarnation_changes_nothing() {
-    let mut daemon = Daemon::with(1, &[FORMER, NEXT]);
+    let mut daemon = Daemon::with_servers(1, &[FORMER, NEXT]);
     let key = daemon
         .node
         .incarnations
--- a/src/fleet/tests/naming.rs
+++ b/src/fleet/tests/naming.rs
@@ -49,7 +49,7 @@
     let newest = operator_topic().split_off(1);
     daemon.node.apply(ms(20), records(Topic::Operator, 5, 6, newest));
     daemon.node.apply(ms(40), records(Topic::Operator, 0, 6, operator_topic()));
-    daemon.put(ms(50), Topic::Servers, &[("e-1", OLD)]);
+    daemon.deliver_records(ms(50), Topic::Servers, &[("e-1", OLD)]);
     assert_eq!(send(&mut daemon, ms(60)), []);
 }
 
@@ -58,29 +58,32 @@
     for count in [3, 9, 71, 195] {
         let mut site = Site::new(count, &[("e-1", OLD), ("e-2", NEW)]);
         for daemon in &mut site.daemons {
-            daemon.put(site.now, Topic::Operator, &[("version/m", "weights 2")]);
+            daemon.deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
         }
         site.now += POLICY.weights_limit + ms(2_000);
-        site.pass(ms(1_000));
+        site.advance(ms(1_000));
         // The daemon restarts, and the others read a configuration at the same moment.
         let last = usize::from(count) - 1;
         site.daemons[last] = Daemon::new(count);
         for index in 0..last {
-            let effects =
-                site.daemons[index].put(site.now, Topic::Operator, &[("config", "table 2")]);
-            for (to, message) in site.carry(index, effects) {
+            let effects = site.daemons[index].deliver_records(
+                site.now,
+                Topic::Operator,
+                &[("config", "table 2")],
+            );
+            for (to, message) in site.execute_effects(index, effects) {
                 site.apply(to, message);
             }
         }
         site.now += ms(20);
         let now = site.now;
         let daemon = &mut site.daemons[last];
-        daemon.put(
+        daemon.deliver_records(
             now,
             Topic::Operator,
             &[("first", "table 1"), ("version/m", "weights 2"), ("config", "table 2")],
         );
-        daemon.put(now, Topic::Servers, &[("e-1", OLD)]);
+        daemon.deliver_records(now, Topic::Servers, &[("e-1", OLD)]);
         assert_eq!(send(daemon, now), [], "{count} daemons");
     }
 }
@@ -89,11 +92,11 @@
 /// daemon that was frozen for eight seconds and takes a version for named at its resumption.
 #[test]
 fn named_while_the_daemon_was_frozen() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
     for time in (0..=1_000).step_by(50) {
         daemon.tick(ms(time));
     }
-    daemon.put(ms(9_000), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(9_000), Topic::Operator, &[("version/m", "weights 2")]);
     assert_eq!(send(&mut daemon, ms(9_050)), []);
 }
 
@@ -101,7 +104,7 @@
 /// in succession, only the last. The limit counts from the first.
 #[test]
 fn named_in_succession_while_the_store_refused_the_daemon() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
     daemon.tick(ms(1_000));
     daemon.node.apply(
         ms(1_000),
@@ -129,8 +132,8 @@
 fn started_daemon() -> Daemon {
     let mut daemon = Daemon::new(1);
     let named = [("version/m", "weights 2"), ("config", "table 1")];
-    daemon.put(ms(20), Topic::Operator, &named);
-    daemon.put(ms(20), Topic::Servers, &[("e-1", OLD)]);
+    daemon.deliver_records(ms(20), Topic::Operator, &named);
+    daemon.deliver_records(ms(20), Topic::Servers, &[("e-1", OLD)]);
     daemon
 }
 
@@ -159,7 +162,7 @@
 #[test]
 fn merge_earlier_version_that_superseded_first() {
     let mut daemon = started_daemon();
-    daemon.put(ms(30), Topic::Operator, &[("version/m", "weights 3")]);
+    daemon.deliver_records(ms(30), Topic::Operator, &[("version/m", "weights 3")]);
     receive_digest(&mut daemon, ms(50), 2, ms(50), vec![naming(2, None), naming(3, Some(500))]);
     assert_eq!(send(&mut daemon, ms(60)), [], "no peer knows when version 2 was named");
     receive_digest(
@@ -174,12 +177,12 @@
 
 #[test]
 fn merge_report_delayed_while_the_daemon_was_frozen() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
     for time in (0..=1_000).step_by(50) {
         daemon.tick(ms(time));
     }
     receive_digest(&mut daemon, ms(1_000), 2, ms(51_000), Vec::new());
-    daemon.put(ms(9_001), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(9_001), Topic::Operator, &[("version/m", "weights 2")]);
     receive_digest(&mut daemon, ms(9_002), 2, ms(51_200), vec![naming(2, Some(100))]);
     assert_eq!(send(&mut daemon, ms(9_050)), []);
     receive_digest(&mut daemon, ms(9_500), 2, ms(59_495), vec![naming(2, Some(900))]);
@@ -191,21 +194,25 @@
     let engines = [("e-1", OLD), ("e-2", OLD)];
     let mut site = Site::new(3, &engines);
     for daemon in &mut site.daemons {
-        daemon.hear_store(site.now);
-        daemon.put(site.now, Topic::Operator, &[("version/m", "weights 2")]);
+        daemon.finish_empty_read(site.now);
+        daemon.deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
     }
     let named_at = site.now;
     for index in 0..3 {
-        site.pass(ms(800));
+        site.advance(ms(800));
         let mut daemon = Daemon::new(index as u8 + 1);
         let now = site.now;
-        daemon.put(now, Topic::Operator, &[("version/m", "weights 2"), ("config", "table 1")]);
-        daemon.put(now, Topic::Servers, &engines);
+        daemon.deliver_records(
+            now,
+            Topic::Operator,
+            &[("version/m", "weights 2"), ("config", "table 1")],
+        );
+        daemon.deliver_records(now, Topic::Servers, &engines);
         let routers =
             [("router-1", "router 1"), ("router-2", "router 2"), ("router-3", "router 3")];
-        daemon.put(now, Topic::Routers, &routers);
+        daemon.deliver_records(now, Topic::Routers, &routers);
         site.daemons[index] = daemon;
-        site.pass(ms(800));
+        site.advance(ms(800));
         let age = site.daemons[index].node.superseded_for(site.now, "m", 1);
         let age = age.expect("version 2 was named");
         let true_age = site.now - named_at;
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -106,7 +106,8 @@
 // listed ones all lie before it, it was taken for newer than the list, and stayed for good.
 #[test]
 fn key_whose_removal_was_the_last_record_is_missing_from_a_whole_read() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    let mut daemon =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     // The store forgot its history, the removal at 2 with it.
     let left = [record("s-1", 0, "plain 11 ready")];
     read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &left));
@@ -116,7 +117,7 @@
 // All registrations were gone when the list was read: an empty list removed nothing.
 #[test]
 fn whole_read_that_lists_nothing_removes_everything() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 2, &[]));
     assert!(dispatches(&mut daemon, ms(20), "plain").is_empty());
 }
@@ -149,13 +150,14 @@
 // the list of what is left: it knows of no removals, and yet its answer was taken for all that had happened.
 #[test]
 fn removal_is_learnt_from_a_peer_that_started_after_it() {
-    let mut cut_off = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    let mut cut_off =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let mut peer = Daemon::new(2);
     let left = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
     read_whole(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
     let from = cut_off.node.end_offset(Topic::Servers);
     let routers = [("router-1", "router 1")];
-    peer.put(ms(10), Topic::Routers, &routers);
+    peer.deliver_records(ms(10), Topic::Routers, &routers);
     let ask = Frame::Fetch("router-1".into(), Topic::Servers, from);
     for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
         if let Effect::Send(_, frame) = effect {
@@ -182,13 +184,13 @@
 // an order out. Its new life took over that it was leaving, and no registration takes that back.
 #[test]
 fn next_life_that_an_engine_reports_itself_does_not_leave() {
-    let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1 born:5")]);
-    daemon.put(ms(10), Topic::Servers, &[("e-1", "engine 21 draining 1 born:5")]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", "engine 21 ready 1 born:5")]);
+    daemon.deliver_records(ms(10), Topic::Servers, &[("e-1", "engine 21 draining 1 born:5")]);
     let key = daemon.node.servers.keys().next().expect("it is registered");
     let weights = BTreeMap::from([("m".to_owned(), 1)]);
     let state = State { weights, busy: false, sequence: 0, born: 6 };
     daemon.node.apply(ms(20), Message::Polled(key, Some(state)));
-    daemon.put(ms(30), Topic::Servers, &[("e-1", "engine 21 ready 1 born:6")]);
+    daemon.deliver_records(ms(30), Topic::Servers, &[("e-1", "engine 21 ready 1 born:6")]);
     assert_eq!(dispatches(&mut daemon, ms(40), "engines").len(), 1);
 }
 
@@ -199,9 +201,9 @@
 fn block_that_was_taken_away_does_not_come_back_by_a_late_word() {
     let fatal = Fingerprint(77);
     let mut daemon = Daemon::new(1);
-    daemon.put(ms(0), Topic::Routers, &[("blocked-77", "blocked 77")]);
+    daemon.deliver_records(ms(0), Topic::Routers, &[("blocked-77", "blocked 77")]);
     assert!(daemon.node.poison.is_blocked(fatal));
-    daemon.put(ms(1_000), Topic::Routers, &[("blocked-77", "")]);
+    daemon.deliver_records(ms(1_000), Topic::Routers, &[("blocked-77", "")]);
     let told = crate::poison::Blocked { fingerprint: fatal, age: Duration::ZERO };
     let late = Digest {
         daemon: "router-3".into(),
@@ -215,7 +217,7 @@
     daemon.node.apply(ms(1_200), Message::Frame(Frame::Poison(late)));
     assert!(!daemon.node.poison.is_blocked(fatal));
     // The store's own next word counts.
-    daemon.put(ms(2_000), Topic::Routers, &[("blocked-77", "blocked 77")]);
+    daemon.deliver_records(ms(2_000), Topic::Routers, &[("blocked-77", "blocked 77")]);
     assert!(daemon.node.poison.is_blocked(fatal));
 }
 
--- a/src/fleet/tests/peers.rs
+++ b/src/fleet/tests/peers.rs
@@ -34,17 +34,17 @@
 }
 
 fn pair() -> [Daemon; 2] {
-    let mut one = Daemon::with(1, &[("s-1", "plain 11 ready")]);
-    one.put(ms(0), Topic::Routers, &[("router-2", "router 2")]);
-    let mut two = Daemon::with(2, &[("s-1", "plain 11 ready")]);
-    two.put(ms(0), Topic::Routers, &[("router-1", "router 1")]);
+    let mut one = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
+    one.deliver_records(ms(0), Topic::Routers, &[("router-2", "router 2")]);
+    let mut two = Daemon::with_servers(2, &[("s-1", "plain 11 ready")]);
+    two.deliver_records(ms(0), Topic::Routers, &[("router-1", "router 1")]);
     [one, two]
 }
 
 #[test]
 fn table_reaches_a_daemon_that_the_store_refuses() {
     let mut daemons = pair();
-    daemons[0].put(ms(100), Topic::Operator, &[("config", "table 2")]);
+    daemons[0].deliver_records(ms(100), Topic::Operator, &[("config", "table 2")]);
     let seen = exchange_frames(&mut daemons, ms(100), ms(1_000));
     let versions: Vec<u64> = seen[1]
         .iter()
@@ -59,7 +59,7 @@
 #[test]
 fn draining_server_is_reported_to_peers() {
     let mut daemons = pair();
-    daemons[0].put(ms(100), Topic::Servers, &[("s-1", "plain 11 draining")]);
+    daemons[0].deliver_records(ms(100), Topic::Servers, &[("s-1", "plain 11 draining")]);
     exchange_frames(&mut daemons, ms(100), ms(1_000));
     let route = route("plain", Repeat::AtMostOnce, 1);
     assert!(commands(&daemons[1].arrive(ms(1_200), &route, None).1).is_empty());
@@ -67,7 +67,7 @@
 
 #[test]
 fn new_daemon_gets_all_records_from_a_seed_while_the_store_is_down() {
-    let one = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let one = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let mut two = Daemon::new(2);
     let identity = Identity {
         id: "router-2".into(),
@@ -105,8 +105,8 @@
 
 #[test]
 fn weights_from_a_peer_are_logged_forwarded_and_used() {
-    let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1")]);
-    daemon.put(ms(100), Topic::Operator, &[("version/m", "weights 2")]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", "engine 21 ready 1")]);
+    daemon.deliver_records(ms(100), Topic::Operator, &[("version/m", "weights 2")]);
     let route = route("engines", Repeat::Resumable, 2);
     let (_, effects) = daemon.arrive(ms(9_000), &route, Some(prompt(1, 2)));
     assert!(commands(&effects).is_empty());
@@ -129,7 +129,7 @@
 
 /// A daemon that received digests of `count` peers at `now`.
 fn daemon_with_peers(count: u8, now: Time) -> Daemon {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     for last in 2..count + 2 {
         let digest = Digest {
             daemon: format!("router-{last:03}"),
@@ -151,7 +151,7 @@
         });
         counts.sum()
     };
-    let effects = daemon.put(ms(1_010), Topic::Servers, &[("s-2", "plain 12 ready")]);
+    let effects = daemon.deliver_records(ms(1_010), Topic::Servers, &[("s-2", "plain 12 ready")]);
     assert_eq!(forwarded(&effects), 3);
     let record = Record { key: "s-3".into(), offset: 2, value: Some(b"plain 13 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 2, to: 3, records: vec![record] };
@@ -221,7 +221,7 @@
 
 #[test]
 fn lost_and_regained_dependencies_are_logged_once_each() {
-    let mut daemon = Daemon::with(1, &[]);
+    let mut daemon = Daemon::with_servers(1, &[]);
     let mut seen = Vec::new();
     for tracked in Dependency::ALL {
         for at in [100, 400, 700] {
@@ -251,13 +251,13 @@
 #[test]
 fn new_daemon_with_one_server_record_is_not_ready() {
     let mut daemon = Daemon::new(1);
-    daemon.put(ms(0), Topic::Operator, &[("config", "table 1")]);
+    daemon.deliver_records(ms(0), Topic::Operator, &[("config", "table 1")]);
     let value = Some(b"plain 11 ready".to_vec());
     let records = vec![Record { key: "s-1".into(), offset: 40, value }];
     let batch = Batch { topic: Topic::Servers, from: 40, to: 41, records };
     daemon.node.apply(ms(10), Message::Frame(Frame::Records(batch)));
     assert!(!daemon.node.is_ready());
-    daemon.put(ms(20), Topic::Servers, &[("s-2", "plain 12 ready")]);
+    daemon.deliver_records(ms(20), Topic::Servers, &[("s-2", "plain 12 ready")]);
     assert!(daemon.node.is_ready());
 }
 
--- a/src/fleet/tests/poison.rs
+++ b/src/fleet/tests/poison.rs
@@ -32,7 +32,7 @@
     loop {
         let commands = site.commands(daemon, key);
         let [Command::Dispatch(dispatch)] = commands.as_slice() else { return None };
-        if !site.ended.contains(&dispatch.address) {
+        if !site.crashed_servers.contains(&dispatch.address) {
             return Some(dispatch.clone());
         }
         site.report(daemon, key, dispatch.attempt, Report::Unsent);
@@ -43,9 +43,9 @@
 fn crashes_a_server(site: &mut Site, daemon: usize, fingerprint: Fingerprint) -> bool {
     let key = send_request(site, daemon, fingerprint);
     let Some(dispatch) = next_live_dispatch(site, daemon, key) else { return false };
-    site.ended.insert(dispatch.address);
+    site.crashed_servers.insert(dispatch.address);
     site.report(daemon, key, dispatch.attempt, Report::Lost(Loss::Connection));
-    site.pass(ms(400));
+    site.advance(ms(400));
     true
 }
 
@@ -69,7 +69,7 @@
             assert_eq!(code, Some(Code::RequestBlocked), "daemon {daemon} of {daemons}");
         }
         let other = send_request(&mut site, 0, Fingerprint(1));
-        site.sent(0, other);
+        site.only_dispatch(0, other);
     }
 }
 
@@ -91,8 +91,8 @@
         let Some(dispatch) = next_live_dispatch(&mut site, n % 3, key) else { continue };
         ended += 1;
         site.report(n % 3, key, dispatch.attempt, Report::Lost(Loss::Connection));
-        site.ended.insert(dispatch.address);
-        site.pass(ms(400));
+        site.crashed_servers.insert(dispatch.address);
+        site.advance(ms(400));
     }
     assert_eq!(ended, 3, "crashed servers");
 }
@@ -102,9 +102,9 @@
     let mut site = site(3, 5);
     for n in 0..10 {
         let key = send_request(&mut site, n % 3, CRASHING);
-        let attempt = site.sent(n % 3, key).attempt;
+        let attempt = site.only_dispatch(n % 3, key).attempt;
         site.report(n % 3, key, attempt, Report::Lost(Loss::Connection));
-        site.pass(ms(5_000));
+        site.advance(ms(5_000));
     }
 }
 
@@ -113,11 +113,11 @@
     let mut site = site(3, 5);
     for n in 0..5 {
         let key = send_request(&mut site, n % 3, CRASHING);
-        let sent = site.sent(n % 3, key);
-        site.ended.insert(sent.address);
+        let sent = site.only_dispatch(n % 3, key);
+        site.crashed_servers.insert(sent.address);
         site.report(n % 3, key, sent.attempt, Report::Lost(Loss::InvalidAnswer));
-        site.pass(ms(5_000));
-        site.ended.clear();
+        site.advance(ms(5_000));
+        site.crashed_servers.clear();
     }
 }
 
@@ -126,18 +126,18 @@
     let mut site = site(1, 5);
     for _ in 0..4 {
         let key = send_request(&mut site, 0, CRASHING);
-        let sent = site.sent(0, key);
+        let sent = site.only_dispatch(0, key);
         let last = sent.address.ip().to_string().rsplit('.').next().map(str::to_owned);
         let value =
             format!("engine {} draining 1", last.expect("an IPv4 address has four numbers"));
         let now = site.now;
-        site.daemons[0].put(now, Topic::Servers, &[(&sent.server, &value)]);
-        site.ended.insert(sent.address);
+        site.daemons[0].deliver_records(now, Topic::Servers, &[(&sent.server, &value)]);
+        site.crashed_servers.insert(sent.address);
         site.report(0, key, sent.attempt, Report::Lost(Loss::Connection));
-        site.pass(ms(1_000));
+        site.advance(ms(1_000));
     }
     let key = send_request(&mut site, 0, CRASHING);
-    site.sent(0, key);
+    site.only_dispatch(0, key);
 }
 
 #[test]
@@ -149,7 +149,7 @@
         let attempt = next_live_dispatch(&mut site, n % 3, key).expect("a server is left").attempt;
         site.report(n % 3, key, attempt, Report::Begun(Some(1)));
         site.report(n % 3, key, attempt, Report::Ended);
-        site.pass(ms(100));
+        site.advance(ms(100));
     }
 }
 
@@ -160,7 +160,7 @@
     site.daemons[2].fingerprint = CRASHING;
     let key = site.arrive(2, "engines", Repeat::Resumable);
     let sent = next_live_dispatch(&mut site, 2, key).expect("a server is left");
-    site.ended.insert(sent.address);
+    site.crashed_servers.insert(sent.address);
     site.report(2, key, sent.attempt, Report::Lost(Loss::Connection));
     assert_eq!(site.commands(2, key), [Command::GiveUp]);
 }
@@ -187,7 +187,7 @@
     for _ in 0..2 {
         let scheduler = site.scheduler("engines");
         site.down.insert(scheduler);
-        site.pass(ms(4_000));
+        site.advance(ms(4_000));
     }
     let mut ended = 1;
     for n in (0..7).cycle().take(28) {
@@ -209,7 +209,7 @@
         let (_, effects) = daemon.arrive(now, &route("engines", Repeat::AtMostOnce, 1), None);
         matches!(commands(&effects).as_slice(), [Command::Refuse(Code::RequestBlocked, _)])
     };
-    let mut told = Daemon::with(9, &[]);
+    let mut told = Daemon::with_servers(9, &[]);
     let digest = site.daemons[0].node.apply(site.now + ms(600), Message::Tick);
     for effect in digest {
         if let Effect::Send(_, frame @ Frame::Digest(_)) = effect {
@@ -217,12 +217,15 @@
         }
     }
     assert!(blocked(&mut told, ms(20)), "a digest carries blocks that are not in the store");
-    assert!(site.written.contains(&(CRASHING, true)), "a scheduler writes the block to the store");
-    let mut read = Daemon::with(8, &[]);
+    assert!(
+        site.block_writes.contains(&(CRASHING, true)),
+        "a scheduler writes the block to the store"
+    );
+    let mut read = Daemon::with_servers(8, &[]);
     let record = format!("blocked {}", CRASHING.0);
-    read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
+    read.deliver_records(ms(10), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
     assert!(blocked(&mut read, ms(20)), "the store carries the block");
-    read.put(ms(30), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), "")]);
+    read.deliver_records(ms(30), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), "")]);
     assert!(!blocked(&mut read, ms(40)), "an operator can remove the block from the store");
 }
 
@@ -232,9 +235,13 @@
 fn stored_block_expires_a_day_after_it_was_made() {
     let hour = Duration::from_secs(3_600);
     for (hours, is_blocked) in [(22, true), (23, false), (25, false)] {
-        let mut read = Daemon::with(8, &[]);
+        let mut read = Daemon::with_servers(8, &[]);
         let record = format!("blocked {} {}", CRASHING.0, hours * 3_600);
-        read.put(ms(10), Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
+        read.deliver_records(
+            ms(10),
+            Topic::Routers,
+            &[(&format!("blocked-{}", CRASHING.0), &record)],
+        );
         let effects = read.node.apply(hour + ms(10), Message::Tick);
         assert_eq!(
             read.node.poison.is_blocked(CRASHING),
@@ -278,16 +285,20 @@
     for n in 0..3 {
         assert!(crashes_a_server(&mut site, n, CRASHING));
     }
-    site.pass(ms(9_000));
-    let tries = site.written.len();
+    site.advance(ms(9_000));
+    let tries = site.block_writes.len();
     assert!((3..=15).contains(&tries), "{tries} writes in an outage of nine seconds");
     let record = format!("blocked {}", CRASHING.0);
     let now = site.now;
     for daemon in &mut site.daemons {
-        daemon.put(now, Topic::Routers, &[(&format!("blocked-{}", CRASHING.0), &record)]);
+        daemon.deliver_records(
+            now,
+            Topic::Routers,
+            &[(&format!("blocked-{}", CRASHING.0), &record)],
+        );
     }
-    site.pass(ms(9_000));
-    assert_eq!(site.written.len(), tries);
+    site.advance(ms(9_000));
+    assert_eq!(site.block_writes.len(), tries);
 }
 
 #[test]
@@ -299,8 +310,8 @@
     let mut site = Site::new(3, &first);
     for round in 0..3 {
         let key = send_request(&mut site, round, CRASHING);
-        let sent = site.sent(round, key);
-        site.pass(ms(1_500));
+        let sent = site.only_dispatch(round, key);
+        site.advance(ms(1_500));
         let n = servers
             .iter()
             .find(|(id, _)| *id == sent.server)
@@ -309,14 +320,18 @@
         let value = format!("engine {n} ready 1 born:{}", 6 + round);
         let now = site.now;
         for daemon in 0..3 {
-            let effects = site.daemons[daemon].put(now, Topic::Servers, &[(&sent.server, &value)]);
-            for (to, message) in site.carry(daemon, effects).into_iter().rev() {
+            let effects = site.daemons[daemon].deliver_records(
+                now,
+                Topic::Servers,
+                &[(&sent.server, &value)],
+            );
+            for (to, message) in site.execute_effects(daemon, effects).into_iter().rev() {
                 site.apply(to, message);
             }
         }
         site.apply(round, Message::Cancel(key));
         // The request runs for seconds: only if crashes are rare is its presence at each one no coincidence.
-        site.pass(ms(30_000));
+        site.advance(ms(30_000));
     }
     let key = send_request(&mut site, 0, CRASHING);
     assert_eq!(refusal(&mut site, 0, key), Some(Code::RequestBlocked));
--- a/src/fleet/tests/quotas.rs
+++ b/src/fleet/tests/quotas.rs
@@ -100,7 +100,7 @@
         let servers: Vec<(String, String)> = (0..ENGINE_COUNT).map(server).collect();
         let records = borrowed(&servers);
         let mut site = Site::new(daemons, &records);
-        site.pass(ms(9_000));
+        site.advance(ms(9_000));
         Self {
             site,
             rng: fastrand::Rng::with_seed(seed),
@@ -116,11 +116,11 @@
     fn run(&mut self, span: Duration) {
         let end = self.site.now + span;
         while self.site.now < end {
-            self.site.pass(STEP);
+            self.site.advance(STEP);
             self.start_daemons();
             if self.site.now >= self.fault_ends_at {
                 self.fault_ends_at = Time::MAX;
-                self.site.cut.clear();
+                self.site.cut_links.clear();
                 self.site.down.clear();
             }
             for index in 0..self.demands.len() {
@@ -145,7 +145,7 @@
         let servers = borrowed(&self.servers);
         for index in due {
             self.site.down.remove(&index);
-            self.site.start_again(index, &servers);
+            self.site.restart(index, &servers);
         }
     }
 
@@ -171,13 +171,13 @@
             Fault::Partition => {
                 let apart = |(a, b): &(usize, usize)| (a < &(daemons / 2)) != (b < &(daemons / 2));
                 let pairs = (0..daemons).flat_map(|a| (0..daemons).map(move |b| (a, b)));
-                self.site.cut = pairs.filter(apart).collect();
+                self.site.cut_links = pairs.filter(apart).collect();
             }
             Fault::KeeperOutboundCut => {
-                self.site.cut = others.map(|other| (keeper, other)).collect()
+                self.site.cut_links = others.map(|other| (keeper, other)).collect()
             }
             Fault::KeeperInboundCut => {
-                self.site.cut = others.map(|other| (other, keeper)).collect()
+                self.site.cut_links = others.map(|other| (other, keeper)).collect()
             }
             Fault::IsolatedDaemons => {
                 let isolated = (0..daemons).filter(|_| self.rng.u32(0..3) == 0);
@@ -187,7 +187,7 @@
                         [(*isolated_daemon, other), (other, *isolated_daemon)]
                     })
                 });
-                self.site.cut = pairs.collect();
+                self.site.cut_links = pairs.collect();
             }
             Fault::KeeperPauses => _ = self.site.down.insert(keeper),
         }
@@ -217,7 +217,7 @@
 
     fn execute_commands(&mut self) {
         loop {
-            let commands = self.site.take_told();
+            let commands = self.site.take_commands();
             if commands.is_empty() {
                 return;
             }
@@ -330,17 +330,17 @@
 #[test]
 fn request_waits_briefly_without_a_reachable_keeper() {
     let mut scenario = Scenario::new(9, 3, vec![Demand::new("usual", 0.6)]);
-    let alone = scenario.site.other();
+    let alone = scenario.site.non_scheduler();
     let others = (0..9).filter(|other| *other != alone);
-    scenario.site.cut = others.flat_map(|other| [(alone, other), (other, alone)]).collect();
+    scenario.site.cut_links = others.flat_map(|other| [(alone, other), (other, alone)]).collect();
     let before = scenario.site.now;
     scenario.send_request_to(alone, 0);
-    scenario.site.pass(ms(200));
+    scenario.site.advance(ms(200));
     scenario.execute_commands();
     assert_eq!((scenario.demands[0].refused, scenario.demands[0].runs.len()), (0, 0));
-    scenario.site.cut.clear();
+    scenario.site.cut_links.clear();
     while scenario.demands[0].runs.is_empty() && scenario.site.now < before + ms(420) {
-        scenario.site.pass(STEP);
+        scenario.site.advance(STEP);
         scenario.execute_commands();
     }
     assert_eq!((scenario.demands[0].refused, scenario.demands[0].runs.len()), (0, 1));
--- a/src/fleet/tests/requests.rs
+++ b/src/fleet/tests/requests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn lost_at_most_once_is_given_up() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let route = route("plain", Repeat::AtMostOnce, 3);
     let (request, effects) = daemon.arrive(ms(10), &route, None);
     assert_eq!(dispatch(&effects).attempt, 1);
@@ -19,7 +19,7 @@
 
 #[test]
 fn failed_at_most_once_is_given_up() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 3), None);
     let effects = daemon.report(ms(20), request, 1, Report::Failed);
     assert_eq!(commands(&effects), [Command::GiveUp]);
@@ -27,7 +27,7 @@
 
 #[test]
 fn refused_at_most_once_is_sent_elsewhere() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let (request, effects) = daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 1), None);
     let first = dispatch(&effects);
     let effects = daemon.report(ms(20), request, 1, Report::Refused(Refusal::Busy));
@@ -38,7 +38,7 @@
 
 #[test]
 fn unsent_attempt_costs_no_budget() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     for at in 0..200 {
         let now = ms(10_000 * (at + 1));
         let (request, _) = daemon.arrive(now, &route("plain", Repeat::AtMostOnce, 1), None);
@@ -50,7 +50,7 @@
 
 #[test]
 fn lost_idempotent_is_repeated_up_to_its_attempts() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::Idempotent, 2), None);
     let effects = daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     assert_eq!(dispatch(&effects).attempt, 2);
@@ -60,7 +60,7 @@
 
 #[test]
 fn report_of_an_earlier_attempt_is_ignored() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::Idempotent, 3), None);
     daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     assert!(daemon.report(ms(21), request, 1, Report::Lost(Loss::Connection)).is_empty());
@@ -68,7 +68,7 @@
 
 #[test]
 fn repeats_stay_within_the_budget() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let route = route("plain", Repeat::Idempotent, 2);
     let (mut requests, mut repeats) = (0, 0);
     for step in 0..500 {
@@ -89,7 +89,7 @@
 
 #[test]
 fn refused_everywhere_is_refused_as_not_run() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     let (request, mut effects) =
         daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 1), None);
     let mut attempts = 0;
@@ -113,7 +113,7 @@
 
 #[test]
 fn no_server_is_refused_within_half_the_target() {
-    let mut daemon = Daemon::with(1, &[]);
+    let mut daemon = Daemon::with_servers(1, &[]);
     daemon.arrive(ms(10), &route("plain", Repeat::AtMostOnce, 1), None);
     assert!(commands(&daemon.tick(ms(300))).is_empty());
     let effects = daemon.tick(ms(320));
@@ -122,7 +122,7 @@
 
 #[test]
 fn waiting_after_it_may_have_run_is_never_refused_as_not_run() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let (request, _) = daemon.arrive(ms(10), &route("plain", Repeat::Idempotent, 2), None);
     daemon.report(ms(20), request, 1, Report::Lost(Loss::Connection));
     let effects = daemon.tick(ms(2_000));
@@ -132,7 +132,7 @@
 
 #[test]
 fn full_servers_make_requests_wait_in_order_of_priority() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let normal = route("plain", Repeat::AtMostOnce, 1);
     let mut urgent = (*normal).clone();
     urgent.priority = 0;
@@ -153,7 +153,7 @@
 #[test]
 fn silent_server_loses_repeatable_requests() {
     let servers = [("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")];
-    let mut daemon = Daemon::with(1, &servers);
+    let mut daemon = Daemon::with_servers(1, &servers);
     let (_, effects) = daemon.arrive(ms(1_000), &route("plain", Repeat::Idempotent, 2), None);
     let first = dispatch(&effects);
     assert!(commands(&daemon.tick(ms(1_500))).is_empty());
@@ -163,14 +163,14 @@
 
 #[test]
 fn silent_server_keeps_at_most_once_requests() {
-    let mut daemon = Daemon::with(1, &TWO_SERVERS);
+    let mut daemon = Daemon::with_servers(1, &TWO_SERVERS);
     daemon.arrive(ms(1_000), &route("plain", Repeat::AtMostOnce, 2), None);
     assert!(commands(&daemon.tick(ms(4_000))).is_empty());
 }
 
 #[test]
 fn leave_frees_the_slot() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let (first, _) = daemon.arrive(ms(10), &route, None);
     daemon.arrive(ms(10), &route, None);
@@ -181,7 +181,8 @@
 
 #[test]
 fn broken_stream_waits_for_the_retry_budget() {
-    let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1"), ("e-2", "engine 22 ready 1")]);
+    let mut daemon =
+        Daemon::with_servers(1, &[("e-1", "engine 21 ready 1"), ("e-2", "engine 22 ready 1")]);
     let resumable = route("engines", Repeat::Resumable, 2);
     // Retries that exhaust the budget of the window until 11.0 s.
     for _ in 0..200 {
@@ -198,7 +199,7 @@
 
 #[test]
 fn finish_stop_refuses_waiting_and_gives_up_unanswered_requests() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     let route = route("plain", Repeat::AtMostOnce, 1);
     let (begun, _) = daemon.arrive(ms(10), &route, None);
     daemon.report(ms(20), begun, 1, Report::Begun(None));
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -11,8 +11,8 @@
 fn daemons() -> Vec<Daemon> {
     let routers = [("router-1", "router 1"), ("router-2", "router 2"), ("router-3", "router 3")];
     let daemons = (1..=3).map(|last| {
-        let mut daemon = Daemon::with(last, &ENGINES);
-        daemon.put(ms(0), Topic::Routers, &routers);
+        let mut daemon = Daemon::with_servers(last, &ENGINES);
+        daemon.deliver_records(ms(0), Topic::Routers, &routers);
         daemon
     });
     daemons.collect()
@@ -135,7 +135,7 @@
 
 /// An engine that is not chosen for `subject` while no events are known.
 fn engine_other_than_home(subject: u64) -> u8 {
-    let home = send_prompt(&mut [Daemon::with(1, &ENGINES)], 0, ms(1), subject);
+    let home = send_prompt(&mut [Daemon::with_servers(1, &ENGINES)], 0, ms(1), subject);
     (21..24)
         .find(|last| address(*last) != home.address)
         .expect("only one of three engines is chosen")
@@ -313,8 +313,8 @@
     let routers: Vec<(&str, &str)> =
         routers.iter().map(|(id, value)| (id.as_str(), value.as_str())).collect();
     let daemons = (1..=4).map(|last| {
-        let mut daemon = Daemon::with(last, &ENGINES);
-        daemon.put(ms(0), Topic::Routers, &routers);
+        let mut daemon = Daemon::with_servers(last, &ENGINES);
+        daemon.deliver_records(ms(0), Topic::Routers, &routers);
         daemon
     });
     let (mut daemons, mut holders): (Vec<Daemon>, _) = (daemons.collect(), Holders::default());
@@ -344,7 +344,7 @@
 
 #[test]
 fn removed_server_leaves_no_event_poll() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     let mut asked = Vec::new();
     for effect in daemon.tick(ms(20)) {
         if let Effect::ReadEvents { place, .. } = effect {
@@ -352,7 +352,7 @@
         }
     }
     assert_eq!(asked.len(), 4);
-    daemon.put(ms(30), Topic::Servers, &ENGINES.map(|(id, _)| (id, "")));
+    daemon.deliver_records(ms(30), Topic::Servers, &ENGINES.map(|(id, _)| (id, "")));
     for place in asked {
         daemon.node.apply(ms(40), Message::Events(place, None));
     }
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -43,36 +43,37 @@
 fn named_after_an_outage_that_swallowed_all_reads() {
     let mut site = Site::new(3, &[("e-1", OLD)]);
     let failed = || Message::ReadFailed(Dependency::Topic(Topic::Operator), "no answer".into());
-    site.daemons[0].hear_store(site.now);
-    site.pass(ms(400));
+    site.daemons[0].finish_empty_read(site.now);
+    site.advance(ms(400));
     for daemon in &mut site.daemons[1..] {
-        daemon.hear_store(site.now);
+        daemon.finish_empty_read(site.now);
     }
     // The outage lasts for a moment here.
-    site.pass(ms(300));
+    site.advance(ms(300));
     let named_at = site.now;
-    site.pass(ms(2_800));
+    site.advance(ms(2_800));
     site.apply(0, failed());
-    site.pass(ms(300));
-    let effects = site.daemons[0].put(site.now, Topic::Operator, &[("version/m", "weights 2")]);
-    for (to, message) in site.carry(0, effects) {
+    site.advance(ms(300));
+    let effects =
+        site.daemons[0].deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
+    for (to, message) in site.execute_effects(0, effects) {
         site.apply(to, message);
     }
-    site.pass(ms(100));
+    site.advance(ms(100));
     for index in 1..3 {
         site.apply(index, failed());
-        site.pass(ms(300));
-        site.daemons[index].hear_store(site.now);
+        site.advance(ms(300));
+        site.daemons[index].finish_empty_read(site.now);
     }
     let end = named_at + POLICY.weights_limit;
-    site.pass(end + ms(100) - site.now);
+    site.advance(end + ms(100) - site.now);
     let true_age = site.now - named_at;
     let ages = site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
     let ages: Vec<Option<Duration>> = ages.collect();
     for index in 0..3 {
         site.arrive(index, "engines", Repeat::AtMostOnce);
     }
-    let sent = site.told.iter().flatten().filter_map(|(_, command)| match command {
+    let sent = site.sent_commands.iter().flatten().filter_map(|(_, command)| match command {
         Command::Dispatch(dispatch) => dispatch.weights_version,
         Command::Refuse(..) | Command::GiveUp => None,
     });
@@ -85,18 +86,18 @@
 // waits in an engine's queue is taken back 1.5 s after the limit.
 #[test]
 fn named_as_the_store_ended_is_recalled_within_the_limit() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
     for time in (0..=4_000).step_by(50) {
         daemon.tick(ms(time));
     }
-    daemon.hear_store(ms(4_000));
+    daemon.finish_empty_read(ms(4_000));
     let named_at = ms(4_050);
     let failed = Message::ReadFailed(Dependency::Topic(Topic::Operator), "reset".into());
     daemon.node.apply(ms(4_060), failed);
     for time in (4_060..5_950).step_by(50) {
         daemon.tick(ms(time));
     }
-    daemon.put(ms(5_950), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(5_950), Topic::Operator, &[("version/m", "weights 2")]);
     for time in (5_950..11_400).step_by(50) {
         daemon.tick(ms(time));
     }
@@ -118,12 +119,16 @@
 #[test]
 fn forgotten_version_of_unknown_age_stays_unknown() {
     let mut daemon = Daemon::new(1);
-    daemon.put(ms(20), Topic::Operator, &[("version/m", "weights 2"), ("config", "table 1")]);
-    daemon.put(ms(20), Topic::Servers, &[("e-1", OLD)]);
+    daemon.deliver_records(
+        ms(20),
+        Topic::Operator,
+        &[("version/m", "weights 2"), ("config", "table 1")],
+    );
+    daemon.deliver_records(ms(20), Topic::Servers, &[("e-1", OLD)]);
     assert_eq!(send(&mut daemon, ms(30)).1, None);
     for version in 3..=18 {
         let value = format!("weights {version}");
-        daemon.put(ms(100), Topic::Operator, &[("version/m", &value)]);
+        daemon.deliver_records(ms(100), Topic::Operator, &[("version/m", &value)]);
     }
     assert_eq!(send(&mut daemon, ms(110)).1, None);
     let digest = Digest {
@@ -144,19 +149,19 @@
     for scheduler_ends in [false, true] {
         let mut site = Site::new(9, &[("e-1", OLD)]);
         for daemon in &mut site.daemons {
-            daemon.hear_store(site.now);
-            daemon.put(site.now, Topic::Operator, &[("version/m", "weights 2")]);
+            daemon.finish_empty_read(site.now);
+            daemon.deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
         }
         let named_at = site.now;
-        site.pass(ms(5_300));
-        let (other, scheduler) = (site.other(), site.scheduler("engines"));
+        site.advance(ms(5_300));
+        let (other, scheduler) = (site.non_scheduler(), site.scheduler("engines"));
         let key = site.arrive(other, "engines", Repeat::AtMostOnce);
-        assert_eq!(site.sent(other, key).weights_version, Some(1));
-        site.pass(named_at + ms(7_400) - site.now);
+        assert_eq!(site.only_dispatch(other, key).weights_version, Some(1));
+        site.advance(named_at + ms(7_400) - site.now);
         if scheduler_ends {
             site.down.insert(scheduler);
         }
-        site.pass(named_at + POLICY.weights_limit - site.now);
+        site.advance(named_at + POLICY.weights_limit - site.now);
         let told = site.commands(other, key);
         let given_up = told.iter().any(|command| matches!(command, Command::GiveUp));
         assert!(given_up, "the scheduler ends: {scheduler_ends}; {told:?}");
@@ -168,7 +173,7 @@
 // then, though all that it knows is that they were not named at 4.0 s.
 #[test]
 fn named_while_the_store_answers_late() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
     let named_at = ms(4_100);
     let end = daemon.node.end_offset(Topic::Operator);
     let read = |asked, to, records| {
@@ -195,10 +200,10 @@
 // weights that it hears of at 7.4 s for named then. They were named at 4.1 s.
 #[test]
 fn contact_through_a_peer_counts_from_when_the_peer_asked() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
-    daemon.put(ms(0), Topic::Routers, &[("router-2", "router 2")]);
-    let mut peer = Daemon::with(2, &[]);
-    peer.put(ms(0), Topic::Routers, &[("router-1", "router 1")]);
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
+    daemon.deliver_records(ms(0), Topic::Routers, &[("router-2", "router 2")]);
+    let mut peer = Daemon::with_servers(2, &[]);
+    peer.deliver_records(ms(0), Topic::Routers, &[("router-1", "router 1")]);
     for time in (0..=5_400).step_by(50) {
         peer.tick(ms(time));
         for frame in digests(daemon.tick(ms(time))) {
@@ -223,7 +228,7 @@
             peer.node.apply(ms(time), Message::Frame(frame));
         }
     }
-    daemon.put(ms(7_400), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(7_400), Topic::Operator, &[("version/m", "weights 2")]);
     for time in (7_400..12_800).step_by(50) {
         daemon.tick(ms(time));
     }
--- a/src/fleet/tests/rollout.rs
+++ b/src/fleet/tests/rollout.rs
@@ -22,11 +22,11 @@
 
 #[test]
 fn older_weights_serve_only_until_the_limit() {
-    let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.put(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
+    daemon.deliver_records(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
     assert_eq!(send(&mut daemon, ms(2_000)).len(), 1);
     assert!(send(&mut daemon, ms(6_600)).is_empty());
-    daemon.put(ms(8_200), Topic::Servers, &[("e-2", "engine 22 ready 2")]);
+    daemon.deliver_records(ms(8_200), Topic::Servers, &[("e-2", "engine 22 ready 2")]);
     let sent = send(&mut daemon, ms(8_300));
     assert!(
         matches!(&sent[..], [Command::Dispatch(d)] if d.weights_version == Some(2)),
@@ -36,23 +36,23 @@
 
 #[test]
 fn limit_counts_from_the_first_superseding_version() {
-    let mut daemon = Daemon::with(1, &ENGINES);
-    daemon.put(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
-    daemon.put(ms(5_000), Topic::Operator, &[("version/m", "weights 3")]);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
+    daemon.deliver_records(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(5_000), Topic::Operator, &[("version/m", "weights 3")]);
     assert!(send(&mut daemon, ms(6_600)).is_empty());
 }
 
 #[test]
 fn request_that_waits_at_an_engine_is_recalled_before_the_weights_limit() {
     for repeat in [Repeat::Resumable, Repeat::AtMostOnce] {
-        let mut daemon = Daemon::with(1, &ENGINES[..2]);
-        daemon.hear_store(ms(1_000));
-        daemon.put(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
+        let mut daemon = Daemon::with_servers(1, &ENGINES[..2]);
+        daemon.finish_empty_read(ms(1_000));
+        daemon.deliver_records(ms(1_000), Topic::Operator, &[("version/m", "weights 2")]);
         let (_, effects) =
             daemon.arrive(ms(6_400), &route("engines", repeat, 2), Some(prompt(7, 3)));
         let first = dispatch(&effects);
         let other = if first.server == "e-1" { "e-2" } else { "e-1" };
-        daemon.put(ms(7_000), Topic::Servers, &[(other, "engine 22 ready 2")]);
+        daemon.deliver_records(ms(7_000), Topic::Servers, &[(other, "engine 22 ready 2")]);
         assert!(commands(&daemon.tick(ms(7_050))).is_empty());
         let seen = commands(&daemon.tick(ms(8_700)));
         match repeat {
@@ -70,14 +70,14 @@
 fn weights_named_before_the_start_are_of_unknown_age() {
     let mut daemon = Daemon::new(1);
     let records = [("config", "table 1"), ("version/m", "weights 2")];
-    daemon.put(ms(500), Topic::Operator, &records);
-    daemon.put(ms(500), Topic::Servers, &ENGINES);
+    daemon.deliver_records(ms(500), Topic::Operator, &records);
+    daemon.deliver_records(ms(500), Topic::Servers, &ENGINES);
     assert!(send(&mut daemon, ms(600)).is_empty());
 }
 
 #[test]
 fn refusal_for_other_weights_updates_the_known_version() {
-    let mut daemon = Daemon::with(1, &ENGINES[..1]);
+    let mut daemon = Daemon::with_servers(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let (request, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 3)));
     assert_eq!(dispatch(&effects).weights_version, Some(1));
@@ -100,10 +100,10 @@
 impl Site {
     fn new(daemons: u8) -> Self {
         let daemons = (1..=daemons).map(|last| {
-            let mut daemon = Daemon::with(last, &ENGINES);
+            let mut daemon = Daemon::with_servers(last, &ENGINES);
             for peer in 1..=daemons {
                 let key = format!("router-{peer}");
-                daemon.put(ms(0), Topic::Routers, &[(&key, &format!("router {peer}"))]);
+                daemon.deliver_records(ms(0), Topic::Routers, &[(&key, &format!("router {peer}"))]);
             }
             daemon
         });
@@ -119,7 +119,7 @@
     fn name(&mut self, now: Time, version: u64) {
         for daemon in &mut self.daemons {
             let text = format!("weights {version}");
-            daemon.put(now, Topic::Operator, &[("version/m", &text)]);
+            daemon.deliver_records(now, Topic::Operator, &[("version/m", &text)]);
         }
     }
 
@@ -139,7 +139,7 @@
                     .collect();
                 let read = Message::Lease(0, records);
                 let mut effects = self.daemons[index].node.apply(now, read);
-                effects.extend(self.daemons[index].hear_store(now));
+                effects.extend(self.daemons[index].finish_empty_read(now));
                 effects.extend(self.daemons[index].tick(now));
                 self.apply_effects(now, index, effects);
             }
@@ -178,7 +178,7 @@
         for (_, _, id, version) in done {
             for daemon in &mut self.daemons {
                 let text = format!("engine 21 ready {version}");
-                daemon.put(now, Topic::Servers, &[(&id, &text)]);
+                daemon.deliver_records(now, Topic::Servers, &[(&id, &text)]);
             }
         }
     }
@@ -238,9 +238,9 @@
 
 #[test]
 fn unknown_order_is_polled_before_the_next_order() {
-    let mut daemon = Daemon::with(1, &ENGINES[..1]);
+    let mut daemon = Daemon::with_servers(1, &ENGINES[..1]);
     daemon.tick(ms(4_000));
-    daemon.put(ms(4_000), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(4_000), Topic::Operator, &[("version/m", "weights 2")]);
     let effects = daemon.tick(ms(4_020));
     let record = effects.iter().find_map(|effect| match effect {
         Effect::AppendLease(text) => Some(text.clone()),
--- a/src/fleet/tests/scheduling.rs
+++ b/src/fleet/tests/scheduling.rs
@@ -27,7 +27,7 @@
     assert_eq!(sent.values().copied().collect::<Vec<usize>>(), [2, 2, 2], "{sent:?}");
     assert_eq!(waiting.len(), 6);
     // Waiting requests are refused at their daemons before their deadline, with a retry-after time.
-    site.pass(ms(400));
+    site.advance(ms(400));
     for (index, key) in waiting {
         let commands = site.commands(index, key);
         assert!(matches!(commands.as_slice(), [Command::Refuse(_, after)] if *after > ms(0)));
@@ -37,13 +37,13 @@
 #[test]
 fn report_updates_scheduler() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
-    let first = site.sent(other, key);
+    let first = site.only_dispatch(other, key);
     assert_eq!((site.running(scheduler), site.running(other)), (1, 0));
     // The server refuses the request and the scheduler assigns another.
     site.report(other, key, first.attempt, Report::Refused(Refusal::Busy));
-    let second = site.sent(other, key);
+    let second = site.only_dispatch(other, key);
     assert_ne!(first.server, second.server);
     site.report(other, key, second.attempt, Report::Begun(None));
     site.report(other, key, second.attempt, Report::Ended);
@@ -57,22 +57,22 @@
 #[test]
 fn queue_again_stays_with_scheduler() {
     let mut site = Site::new(6, &[("s-1", "plain 101 ready")]);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
-    let first = site.sent(other, key);
+    let first = site.only_dispatch(other, key);
     // The only server refuses and is skipped for a moment, so the request waits at the scheduler.
     site.report(other, key, first.attempt, Report::Refused(Refusal::Busy));
-    site.pass(ms(100));
+    site.advance(ms(100));
     assert_eq!(site.unscheduled(other), 0, "the scheduler reported the request as queued");
-    site.pass(ms(150));
-    assert_eq!(site.sent(other, key).attempt, 2);
+    site.advance(ms(150));
+    assert_eq!(site.only_dispatch(other, key).attempt, 2);
     assert_eq!((site.running(scheduler), site.running(other)), (1, 0));
 }
 
 #[test]
 fn cancel_frees_slot_at_scheduler() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
     site.apply(other, Message::Cancel(key));
     assert_eq!((site.running(scheduler), site.daemons[scheduler].node.open_requests()), (0, 0));
@@ -81,19 +81,19 @@
 #[test]
 fn submit_silent_scheduler_placed_locally() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     site.down.insert(scheduler);
     let first = site.arrive(other, "plain", Repeat::AtMostOnce);
     assert!(site.commands(other, first).is_empty());
-    site.pass(ms(100));
-    site.sent(other, first);
+    site.advance(ms(100));
+    site.only_dispatch(other, first);
     assert_eq!(site.unscheduled(other), 1);
     // The next request goes to another scheduler immediately.
     let next = site.arrive(other, "plain", Repeat::AtMostOnce);
-    site.sent(other, next);
+    site.only_dispatch(other, next);
     assert_eq!(site.unscheduled(other), 1);
     // After some seconds all daemons agree on the successor.
-    site.pass(ms(4_000));
+    site.advance(ms(4_000));
     let successor = site.scheduler("plain");
     assert_ne!(successor, scheduler);
 }
@@ -101,12 +101,12 @@
 #[test]
 fn verdict_late_ignored_and_slot_freed() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     let route = route("plain", Repeat::AtMostOnce, 1);
     let (key, effects) = site.daemons[other].arrive(site.now, &route, None);
-    let submitted = site.carry(other, effects);
-    site.pass(ms(100));
-    site.sent(other, key);
+    let submitted = site.execute_effects(other, effects);
+    site.advance(ms(100));
+    site.only_dispatch(other, key);
     for (to, message) in submitted {
         site.apply(to, message);
     }
@@ -117,9 +117,9 @@
 #[test]
 fn verdict_after_possible_run_ignored() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     let key = site.arrive(other, "plain", Repeat::AtMostOnce);
-    let sent = site.sent(other, key);
+    let sent = site.only_dispatch(other, key);
     let daemon = format!("router-{}", scheduler + 1);
     let assignment = Assignment {
         attempt: 2,
@@ -144,18 +144,18 @@
 #[test]
 fn scheduler_down_request_continues() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     let key = site.arrive(other, "plain", Repeat::Idempotent);
-    let sent = site.sent(other, key);
+    let sent = site.only_dispatch(other, key);
     site.down.insert(scheduler);
-    site.pass(ms(3_000));
+    site.advance(ms(3_000));
     assert_eq!(
         site.running(other),
         1,
         "the daemon counts the request itself after the scheduler is gone"
     );
     site.report(other, key, sent.attempt, Report::Lost(Loss::Connection));
-    let again = site.sent(other, key);
+    let again = site.only_dispatch(other, key);
     assert_eq!(again.attempt, sent.attempt + 1);
     site.report(other, key, again.attempt, Report::Ended);
     assert_eq!((site.running(other), site.daemons[other].node.open_requests()), (0, 0));
@@ -164,7 +164,7 @@
 #[test]
 fn stop_scheduler_returns_queued() {
     let mut site = Site::new(6, &[("s-1", "plain 101 ready")]);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     for _ in 0..2 {
         site.arrive(scheduler, "plain", Repeat::AtMostOnce);
     }
@@ -172,7 +172,7 @@
     assert!(site.commands(other, waiting).is_empty());
     site.apply(scheduler, Message::Stop);
     // The receiving daemon decides: the digest of the stopping daemon shows no free capacity.
-    site.pass(ms(400));
+    site.advance(ms(400));
     let commands = site.commands(other, waiting);
     assert!(matches!(commands.as_slice(), [Command::Refuse(..)]), "{commands:?}");
     let next = site.scheduler("plain");
@@ -182,7 +182,7 @@
 #[test]
 fn stop_deadline_refuses_queued_at_scheduler() {
     let mut site = Site::new(6, &[("s-1", "plain 101 ready")]);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     for _ in 0..2 {
         site.arrive(scheduler, "plain", Repeat::AtMostOnce);
     }
@@ -202,7 +202,7 @@
 #[test]
 fn restart_clears_submissions_at_scheduler() {
     let mut site = Site::new(6, &SERVERS);
-    let (scheduler, other) = (site.scheduler("plain"), site.other());
+    let (scheduler, other) = (site.scheduler("plain"), site.non_scheduler());
     site.arrive(other, "plain", Repeat::Idempotent);
     assert_eq!(site.running(scheduler), 1);
     let digest = Digest {
@@ -218,14 +218,14 @@
 #[test]
 fn assignment_to_leaving_server_declined() {
     let mut site = Site::new(6, &SERVERS);
-    let other = site.other();
+    let other = site.non_scheduler();
     // Only this daemon knows that two servers are leaving.
     let leaving = [("s-1", "plain 101 draining"), ("s-2", "plain 102 draining")];
     let at = site.now;
-    site.daemons[other].put(at, Topic::Servers, &leaving);
+    site.daemons[other].deliver_records(at, Topic::Servers, &leaving);
     for _ in 0..2 {
         let key = site.arrive(other, "plain", Repeat::AtMostOnce);
-        assert_eq!(site.sent(other, key).server, "s-3");
+        assert_eq!(site.only_dispatch(other, key).server, "s-3");
     }
 }
 
@@ -253,7 +253,7 @@
                     _ => 0,
                 };
                 frame_count += effects.iter().map(to).sum::<usize>();
-                for (to, message) in site.carry(index, effects) {
+                for (to, message) in site.execute_effects(index, effects) {
                     // Replies are ignored because no records are missing.
                     site.daemons[to].node.apply(now, message);
                 }
--- a/src/fleet/tests/servers.rs
+++ b/src/fleet/tests/servers.rs
@@ -13,29 +13,30 @@
 
 #[test]
 fn draining_server_gets_no_requests_and_stays_draining() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
     assert_eq!(request_commands(&mut daemon, ms(10)).len(), 1);
-    daemon.put(ms(20), Topic::Servers, &[("s-1", "plain 11 draining")]);
+    daemon.deliver_records(ms(20), Topic::Servers, &[("s-1", "plain 11 draining")]);
     assert!(request_commands(&mut daemon, ms(21)).is_empty());
-    daemon.put(ms(30), Topic::Servers, &[("s-1", "plain 11 ready")]);
+    daemon.deliver_records(ms(30), Topic::Servers, &[("s-1", "plain 11 ready")]);
     assert!(request_commands(&mut daemon, ms(31)).is_empty());
 }
 
 #[test]
 fn removed_server_gets_no_requests() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
-    daemon.put(ms(20), Topic::Servers, &[("s-1", "")]);
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
+    daemon.deliver_records(ms(20), Topic::Servers, &[("s-1", "")]);
     assert!(request_commands(&mut daemon, ms(21)).is_empty());
 }
 
 #[test]
 fn registration_lapsed_in_an_outage_is_kept_until_it_could_be_renewed() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    let mut daemon =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let down = Message::ReadFailed(Dependency::Topic(Topic::Servers), "down".into());
     daemon.node.apply(ms(1_000), down);
-    daemon.put(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
+    daemon.deliver_records(ms(1_500), Topic::Servers, &[("s-1", ""), ("s-2", "")]);
     assert_eq!(request_commands(&mut daemon, ms(1_600)).len(), 1);
-    daemon.put(ms(2_000), Topic::Servers, &[("s-2", "plain 12 ready")]);
+    daemon.deliver_records(ms(2_000), Topic::Servers, &[("s-2", "plain 12 ready")]);
     daemon.tick(ms(3_300));
     for at in 0..4 {
         let sent_commands = request_commands(&mut daemon, ms(3_400 + at));
@@ -48,7 +49,8 @@
 
 #[test]
 fn complete_read_without_a_server_removes_it() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    let mut daemon =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let record = Record { key: "s-2".into(), offset: 9, value: Some(b"plain 12 ready".to_vec()) };
     let batch = Batch { topic: Topic::Servers, from: 0, to: 100, records: vec![record] };
     let read = Read { batch, is_snapshot: true, current_at: ms(50) };
@@ -79,8 +81,8 @@
 #[test]
 fn daemons_agree_on_the_home_of_a_subject() {
     for subject in 0..20 {
-        let mut one = Daemon::with(1, &ENGINES);
-        let mut two = Daemon::with(2, &ENGINES);
+        let mut one = Daemon::with_servers(1, &ENGINES);
+        let mut two = Daemon::with_servers(2, &ENGINES);
         let sent = send(&mut one, ms(10), None, subject);
         assert_eq!(sent.server, send(&mut two, ms(10), None, subject).server);
     }
@@ -88,7 +90,7 @@
 
 #[test]
 fn salt_parts_weights_and_isolated_workspaces() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     let lab = |isolated| Workspace { name: "lab".into(), priority: None, isolated, quota: None };
     let open = send(&mut daemon, ms(10), Some(lab(false)), 3);
     let isolated = send(&mut daemon, ms(11), Some(lab(true)), 3);
@@ -97,7 +99,7 @@
     daemon.node.apply(ms(20), Message::OrderEnded(Default::default(), OrderEnd::Held));
     let newer: Vec<(&str, &str)> =
         ENGINES.iter().map(|(id, _)| (*id, "engine 21 ready 2")).collect();
-    daemon.put(ms(20), Topic::Servers, &newer);
+    daemon.deliver_records(ms(20), Topic::Servers, &newer);
     assert_ne!(open.cache_salt, send(&mut daemon, ms(21), None, 3).cache_salt);
     assert_eq!(send(&mut daemon, ms(22), None, 3).weights_version, Some(2));
 }
@@ -113,7 +115,7 @@
 
 #[test]
 fn kv_store_is_sent_missing_parts_and_read_for_stored_ones() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     daemon.node.apply(ms(900), store_events("1", &[], 1));
     let first = send(&mut daemon, ms(2_000), None, 3);
     assert_eq!(first.save_to, Some(address(200)));
@@ -130,7 +132,7 @@
 
 #[test]
 fn kv_store_that_is_down_is_not_used() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     daemon.node.apply(ms(900), store_events("1", &[7, 3], 1));
     daemon.node.apply(ms(1_000), Message::Events(Location::Store, None));
     let sent = send(&mut daemon, ms(2_000), None, 3);
@@ -142,7 +144,7 @@
 
 #[test]
 fn kv_store_link_limits_saves() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     daemon.node.apply(ms(900), store_events("1", &[], 1));
     daemon.tick(ms(1_000));
     let sent = (0..200)
@@ -155,7 +157,7 @@
 
 #[test]
 fn engine_with_a_queue_gets_no_request_that_would_begin_late() {
-    let mut daemon = Daemon::with(1, &ENGINES[..1]);
+    let mut daemon = Daemon::with_servers(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let mut sent = Vec::new();
     for _ in 0..20 {
@@ -178,7 +180,7 @@
 
 #[test]
 fn large_prompt_is_served_by_an_idle_engine() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     let mut large = prompt(7, 3);
     large.input = 60_000;
     large.parts[1].tokens = 17_000;
@@ -188,7 +190,7 @@
 
 #[test]
 fn prompt_waits_for_the_engine_that_holds_its_parts() {
-    let mut daemon = Daemon::with(1, &ENGINES);
+    let mut daemon = Daemon::with_servers(1, &ENGINES);
     let route = route("engines", Repeat::Resumable, 2);
     let (first, effects) = daemon.arrive(ms(10), &route, Some(prompt(7, 3)));
     let home = dispatch(&effects).server;
@@ -215,7 +217,7 @@
     let engines = sixteen_engines();
     let engines: Vec<(&str, &str)> =
         engines.iter().map(|(id, value)| (id.as_str(), value.as_str())).collect();
-    Daemon::with(last, &engines)
+    Daemon::with_servers(last, &engines)
 }
 
 /// Delivers a digest of the peer `last` with its load and heat.
@@ -329,7 +331,7 @@
 
 #[test]
 fn fetch_cost_from_the_kv_store_follows_measured_times() {
-    let mut daemon = Daemon::with(1, &ENGINES[..1]);
+    let mut daemon = Daemon::with_servers(1, &ENGINES[..1]);
     let route = route("engines", Repeat::Resumable, 2);
     let mut fetched = Vec::new();
     for step in 0..30_u64 {
@@ -355,7 +357,7 @@
 #[test]
 fn kv_store_in_another_zone_charges_its_link_twice() {
     let sent_by = |engine: (&str, &str)| {
-        let mut daemon = Daemon::with(1, &[engine]);
+        let mut daemon = Daemon::with_servers(1, &[engine]);
         daemon.node.apply(ms(900), store_events("1", &[], 1));
         daemon.tick(ms(1_000));
         let send = |subject: u64| send(&mut daemon, ms(2_000), None, subject).save_to.is_some();
--- a/src/fleet/tests/site.rs
+++ b/src/fleet/tests/site.rs
@@ -13,19 +13,19 @@
     pub daemons: Vec<Daemon>,
     pub down: BTreeSet<usize>,
     /// Who is not heard by whom.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     pub now: Time,
     /// When each daemon's clock began.
-    pub born: Vec<Time>,
+    pub started_at: Vec<Time>,
     incarnations: u64,
     /// What traffic was told, by daemon.
-    pub told: Vec<Vec<(Key, Command)>>,
+    pub sent_commands: Vec<Vec<(Key, Command)>>,
     /// The subject of the prompts that come next.
     pub subject: u64,
     /// Where servers have ended, so that nobody listens.
-    pub ended: BTreeSet<SocketAddr>,
+    pub crashed_servers: BTreeSet<SocketAddr>,
     /// Blocks that the store was to keep, or no longer.
-    pub written: Vec<(Fingerprint, bool)>,
+    pub block_writes: Vec<(Fingerprint, bool)>,
 }
 
 impl Site {
@@ -34,31 +34,31 @@
         let routers = routers(count);
         let routers = borrowed(&routers);
         let daemons = (1..=count).map(|last| {
-            let mut daemon = Daemon::with(last, servers);
-            daemon.put(ms(0), Topic::Routers, &routers);
+            let mut daemon = Daemon::with_servers(last, servers);
+            daemon.deliver_records(ms(0), Topic::Routers, &routers);
             daemon
         });
         let daemons: Vec<Daemon> = daemons.collect();
-        let told = vec![Vec::new(); daemons.len()];
-        let born = vec![ms(0); daemons.len()];
+        let sent_commands = vec![Vec::new(); daemons.len()];
+        let started_at = vec![ms(0); daemons.len()];
         let mut site = Self {
             daemons,
             down: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             now: ms(0),
-            born,
+            started_at,
             incarnations: 0,
-            told,
+            sent_commands,
             subject: 3,
-            ended: BTreeSet::new(),
-            written: Vec::new(),
+            crashed_servers: BTreeSet::new(),
+            block_writes: Vec::new(),
         };
-        site.pass(ms(4_000));
+        site.advance(ms(4_000));
         site
     }
 
     /// Time passes, with a tick every 20 ms.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += ms(20).min(end - self.now);
@@ -76,51 +76,51 @@
             }
             let now = self.clock(index);
             let effects = self.daemons[index].node.apply(now, message);
-            pending.extend(self.carry(index, effects));
+            pending.extend(self.execute_effects(index, effects));
         }
     }
 
     /// The time by a daemon's own clock.
     pub fn clock(&self, index: usize) -> Time {
-        self.now - self.born[index]
+        self.now - self.started_at[index]
     }
 
     /// A daemon's process ends and another begins in its place, which has read what the store has.
-    pub fn start_again(&mut self, index: usize, servers: &[(&str, &str)]) {
-        self.born[index] = self.now;
+    pub fn restart(&mut self, index: usize, servers: &[(&str, &str)]) {
+        self.started_at[index] = self.now;
         self.incarnations += 1;
         let last = index as u8 + 1;
         let mut daemon = Daemon::started(last, 1_000 + self.incarnations, &[]);
         let routers = routers(self.daemons.len() as u8);
         let routers = borrowed(&routers);
-        daemon.put(ms(0), Topic::Operator, &[("config", "table 1")]);
-        daemon.put(ms(0), Topic::Servers, servers);
-        daemon.put(ms(0), Topic::Routers, &routers);
+        daemon.deliver_records(ms(0), Topic::Operator, &[("config", "table 1")]);
+        daemon.deliver_records(ms(0), Topic::Servers, servers);
+        daemon.deliver_records(ms(0), Topic::Routers, &routers);
         self.daemons[index] = daemon;
-        self.told[index].clear();
+        self.sent_commands[index].clear();
     }
 
     /// Notes commands, and returns frames as messages to those that they go to, the last first.
-    pub fn carry(&mut self, index: usize, effects: Vec<Effect>) -> Vec<(usize, Message)> {
+    pub fn execute_effects(&mut self, index: usize, effects: Vec<Effect>) -> Vec<(usize, Message)> {
         let mut messages = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Command(key, command) => self.told[index].push((key, command)),
+                Effect::Command(key, command) => self.sent_commands[index].push((key, command)),
                 Effect::Send(to, frame) => {
-                    let daemons =
-                        (0..self.daemons.len()).filter(|to| !self.cut.contains(&(index, *to)));
+                    let daemons = (0..self.daemons.len())
+                        .filter(|to| !self.cut_links.contains(&(index, *to)));
                     let to = daemons.filter(|i| to.contains(&address(*i as u8 + 1)));
                     messages.extend(to.map(|to| (to, Message::Frame(frame.clone()))));
                 }
                 Effect::Probe(victim, address) => {
-                    let answer = match self.ended.contains(&address) {
+                    let answer = match self.crashed_servers.contains(&address) {
                         true => Answer::Refused,
                         false => Answer::Accepted,
                     };
                     messages.push((index, Message::Probed(victim, answer)));
                 }
                 Effect::WriteBlock(fingerprint, age) => {
-                    self.written.push((fingerprint, age.is_some()))
+                    self.block_writes.push((fingerprint, age.is_some()))
                 }
                 _ => {}
             }
@@ -144,15 +144,15 @@
         let prompt = (pool == "engines").then(|| prompt(7, self.subject));
         let (now, route) = (self.clock(index), route(pool, repeat, 2));
         let (key, effects) = self.daemons[index].arrive_for(now, &route, prompt, workspace);
-        for (to, message) in self.carry(index, effects).into_iter().rev() {
+        for (to, message) in self.execute_effects(index, effects).into_iter().rev() {
             self.apply(to, message);
         }
         key
     }
 
     /// What traffic was told at all daemons since the last look.
-    pub fn take_told(&mut self) -> Vec<(usize, Key, Command)> {
-        let told = self.told.iter_mut().map(std::mem::take).enumerate();
+    pub fn take_commands(&mut self) -> Vec<(usize, Key, Command)> {
+        let told = self.sent_commands.iter_mut().map(std::mem::take).enumerate();
         let told = told.flat_map(|(daemon, told)| {
             told.into_iter().map(move |(key, command)| (daemon, key, command))
         });
@@ -165,11 +165,11 @@
 
     /// What traffic was told of a request since the last look.
     pub fn commands(&mut self, index: usize, key: Key) -> Vec<Command> {
-        let told = std::mem::take(&mut self.told[index]);
+        let told = std::mem::take(&mut self.sent_commands[index]);
         told.into_iter().filter(|(of, _)| *of == key).map(|(_, command)| command).collect()
     }
 
-    pub fn sent(&mut self, index: usize, key: Key) -> Dispatch {
+    pub fn only_dispatch(&mut self, index: usize, key: Key) -> Dispatch {
         match self.commands(index, key).as_slice() {
             [Command::Dispatch(dispatch)] => dispatch.clone(),
             other => panic!("one dispatch was expected: {other:?}"),
@@ -190,7 +190,7 @@
     }
 
     /// A daemon that does not schedule.
-    pub fn other(&self) -> usize {
+    pub fn non_scheduler(&self) -> usize {
         let other = |index: &usize| {
             !self.down.contains(index) && !self.daemons[*index].node.is_scheduler(self.now)
         };
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -38,7 +38,7 @@
         return Ok(match topic {
             Topic::Servers => Change::ServerGone(record.key.clone()),
             Topic::Routers => match record.key.strip_prefix("blocked-") {
-                Some(text) => Change::Unblocked(Fingerprint(number(text)?)),
+                Some(text) => Change::Unblocked(Fingerprint(parse_number(text)?)),
                 None => Change::Nothing,
             },
             Topic::Operator => Change::Nothing,
@@ -53,53 +53,53 @@
         let Change::Server(mut entry) = decode(topic, &Record { value, ..record.clone() })? else {
             return Err("only servers are born".into());
         };
-        entry.incarnation.started_ms = number(born)?;
+        entry.incarnation.started_ms = parse_number(born)?;
         return Ok(Change::Server(entry));
     }
     match words.as_slice() {
         ["table", version] => {
-            let table = Arc::new(table(number(version)?));
+            let table = Arc::new(table(parse_number(version)?));
             Ok(Change::Table { table, left_out: Vec::new() })
         }
         ["weights", version] => {
-            Ok(Change::Weights { model: "m".into(), version: number(version)? })
+            Ok(Change::Weights { model: "m".into(), version: parse_number(version)? })
         }
-        ["plain", last, state] => Ok(Change::Server(plain(&record.key, last, state)?)),
+        ["plain", last, state] => Ok(Change::Server(plain_server(&record.key, last, state)?)),
         ["engine", last, state, version] => {
-            let mut entry = plain(&record.key, last, state)?;
+            let mut entry = plain_server(&record.key, last, state)?;
             entry.pool = "engines".into();
             entry.slots = 48;
-            entry.weights.insert("m".into(), number(version)?);
+            entry.weights.insert("m".into(), parse_number(version)?);
             Ok(Change::Server(entry))
         }
         ["far-engine", last, state, version] => {
-            let mut entry = plain(&record.key, last, state)?;
+            let mut entry = plain_server(&record.key, last, state)?;
             (entry.pool, entry.zone, entry.slots) = ("engines".into(), "zone-2".into(), 48);
-            entry.weights.insert("m".into(), number(version)?);
+            entry.weights.insert("m".into(), parse_number(version)?);
             Ok(Change::Server(entry))
         }
         ["blocked", fingerprint, rest @ ..] => {
-            let fingerprint = Fingerprint(number(fingerprint)?);
-            let age = Duration::from_secs(rest.first().map_or(Ok(0), |age| number(age))?);
+            let fingerprint = Fingerprint(parse_number(fingerprint)?);
+            let age = Duration::from_secs(rest.first().map_or(Ok(0), |age| parse_number(age))?);
             Ok(Change::Blocked(Blocked { fingerprint, age }))
         }
         ["router", last] => {
-            let address = address(number(last)? as u8);
+            let address = address(parse_number(last)? as u8);
             Ok(Change::Router { id: record.key.clone(), address, cores: 1.0 })
         }
         other => Err(format!("unknown record {other:?}")),
     }
 }
 
-fn number(text: &str) -> Result<u64, String> {
+fn parse_number(text: &str) -> Result<u64, String> {
     text.parse().map_err(|_| format!("{text} is no number"))
 }
 
-fn plain(id: &str, last: &str, state: &str) -> Result<Entry, String> {
+fn plain_server(id: &str, last: &str, state: &str) -> Result<Entry, String> {
     Ok(Entry {
         incarnation: Incarnation::new(id, 0),
         pool: "plain".into(),
-        address: address(number(last)? as u8),
+        address: address(parse_number(last)? as u8),
         zone: "zone-1".into(),
         slots: 2,
         draining: state == "draining",
@@ -166,11 +166,11 @@
     }
 
     /// A daemon that has read a table and these servers.
-    pub fn with(last: u8, servers: &[(&str, &str)]) -> Self {
+    pub fn with_servers(last: u8, servers: &[(&str, &str)]) -> Self {
         let mut daemon = Self::new(last);
-        daemon.put(ms(0), Topic::Operator, &[("config", "table 1")]);
-        daemon.put(ms(0), Topic::Servers, servers);
-        daemon.put(
+        daemon.deliver_records(ms(0), Topic::Operator, &[("config", "table 1")]);
+        daemon.deliver_records(ms(0), Topic::Servers, servers);
+        daemon.deliver_records(
             ms(0),
             Topic::Routers,
             &[(&format!("router-{last}"), &format!("router {last}"))],
@@ -179,7 +179,12 @@
     }
 
     /// The store gives new records of a topic.
-    pub fn put(&mut self, now: Time, topic: Topic, records: &[(&str, &str)]) -> Vec<Effect> {
+    pub fn deliver_records(
+        &mut self,
+        now: Time,
+        topic: Topic,
+        records: &[(&str, &str)],
+    ) -> Vec<Effect> {
         let next = self.offsets.entry(topic).or_default();
         let from = *next;
         let records = records.iter().map(|(key, value)| {
@@ -194,8 +199,8 @@
     }
 
     /// The store ends a read of what operators publish, which has nothing new.
-    pub fn hear_store(&mut self, now: Time) -> Vec<Effect> {
-        self.put(now, Topic::Operator, &[])
+    pub fn finish_empty_read(&mut self, now: Time) -> Vec<Effect> {
+        self.deliver_records(now, Topic::Operator, &[])
     }
 
     /// A request comes; its key and what is done.
