--- a/src/fleet/tests/beliefs/faults.rs
+++ b/src/fleet/tests/beliefs/faults.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn some(&mut self) -> Vec<usize> {
+    pub(super) fn random_vms(&mut self) -> Vec<usize> {
         let all = self.vms.len();
         let count = match self.rng.u32(0..10) {
             0 => all,
@@ -17,15 +17,15 @@
     }
 
     /// Faults begin, several at a time.
-    pub(super) fn trouble(&mut self) {
-        if self.now < self.next[0] {
+    pub(super) fn inject_faults(&mut self) {
+        if self.now < self.next_change_at[0] {
             return;
         }
-        self.next[0] = self.now + ms(self.rng.u64(300..3_500));
+        self.next_change_at[0] = self.now + ms(self.rng.u64(300..3_500));
         let until = self.now + ms(self.rng.u64(300..5_000));
-        let vms = self.some();
+        let vms = self.random_vms();
         let fault = match self.rng.u32(0..9) {
-            0 => return self.kill(&vms),
+            0 => return self.kill_daemons(&vms),
             1 | 2 => {
                 for vm in vms {
                     self.vms[vm].frozen_until = until;
@@ -50,7 +50,7 @@
         self.faults.extend(vms.into_iter().map(|vm| (until, vm, fault)));
     }
 
-    pub(super) fn kill(&mut self, vms: &[usize]) {
+    pub(super) fn kill_daemons(&mut self, vms: &[usize]) {
         for vm in vms {
             let back = self.now + ms(self.rng.u64(20..800));
             let vm = &mut self.vms[*vm];
@@ -59,12 +59,12 @@
     }
 
     /// Whether the store serves anybody: only then do operators and servers write.
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn is_store_reachable(&self) -> bool {
         (0..self.vms.len()).any(|vm| !matches!(self.access(vm), Access::Silent | Access::Refused))
     }
 
     pub(super) fn access(&self, vm: usize) -> Access {
-        let worst = |access: &Access| match access {
+        let severity = |access: &Access| match access {
             Access::Open => 0,
             Access::Slow(_) => 1,
             Access::Refused => 2,
@@ -74,99 +74,99 @@
             Fault::Store(access) if *of == vm => Some(*access),
             _ => None,
         });
-        of.max_by_key(worst).unwrap_or(Access::Open)
+        of.max_by_key(severity).unwrap_or(Access::Open)
     }
 
-    pub(super) fn has(&self, vm: usize, fault: Fault) -> bool {
+    pub(super) fn has_fault(&self, vm: usize, fault: Fault) -> bool {
         self.faults.iter().any(|(_, of, is)| *of == vm && *is == fault)
     }
 
     /// Operators and servers change something, and often daemons end at that very moment.
-    pub(super) fn change(&mut self) {
-        if !self.is_open() {
+    pub(super) fn change_state(&mut self) {
+        if !self.is_store_reachable() {
             return;
         }
-        if self.now >= self.next[1] {
-            self.next[1] = self.now + ms(self.rng.u64(400..4_000));
+        if self.now >= self.next_change_at[1] {
+            self.next_change_at[1] = self.now + ms(self.rng.u64(400..4_000));
             match self.rng.u32(0..3) {
-                0 => self.configure(),
-                1 => self.name(),
+                0 => self.publish_table(),
+                1 => self.name_weights(),
                 _ => {
-                    self.configure();
-                    self.name();
+                    self.publish_table();
+                    self.name_weights();
                 }
             }
-            self.end_some_now();
+            self.maybe_kill_daemons();
         }
-        if self.now >= self.next[2] {
-            self.next[2] = self.now + ms(self.rng.u64(500..3_000));
+        if self.now >= self.next_change_at[2] {
+            self.next_change_at[2] = self.now + ms(self.rng.u64(500..3_000));
             self.change_server();
-            self.end_some_now();
+            self.maybe_kill_daemons();
         }
-        if self.now >= self.next[3] {
-            self.next[3] = self.now + ms(self.rng.u64(1_000..5_000));
+        if self.now >= self.next_change_at[3] {
+            self.next_change_at[3] = self.now + ms(self.rng.u64(1_000..5_000));
             self.change_block();
-            self.end_some_now();
+            self.maybe_kill_daemons();
         }
     }
 
-    pub(super) fn end_some_now(&mut self) {
+    pub(super) fn maybe_kill_daemons(&mut self) {
         if self.rng.u32(0..4) == 0 {
-            let vms = self.some();
-            self.kill(&vms);
+            let vms = self.random_vms();
+            self.kill_daemons(&vms);
         }
     }
 
-    pub(super) fn configure(&mut self) {
-        self.config += self.rng.u64(1..4);
-        let text = format!("table {}", self.config);
+    pub(super) fn publish_table(&mut self) {
+        self.table_version += self.rng.u64(1..4);
+        let text = format!("table {}", self.table_version);
         self.store.append(self.now, Topic::Operator, "config", &text);
-        self.configured.push((self.config, self.now));
+        self.table_versions.push((self.table_version, self.now));
     }
 
-    pub(super) fn name(&mut self) {
-        let version = self.named.last().map_or(1, |(version, _)| version + 1);
+    pub(super) fn name_weights(&mut self) {
+        let version = self.weights_versions.last().map_or(1, |(version, _)| version + 1);
         self.store.append(self.now, Topic::Operator, "version/m", &format!("weights {version}"));
-        self.named.push((version, self.now));
+        self.weights_versions.push((version, self.now));
     }
 
     pub(super) fn change_server(&mut self) {
         let (now, back) = (self.now, self.now + ms(self.rng.u64(300..4_000)));
         let index = self.rng.usize(0..self.servers.len());
-        let newest = self.named.last().map_or(1, |(version, _)| *version);
+        let newest = self.weights_versions.last().map_or(1, |(version, _)| *version);
         let ends = self.rng.u32(0..3);
         let Some(server) =
-            self.servers.get_mut(index).filter(|server| server.is_up && !server.leaving)
+            self.servers.get_mut(index).filter(|server| server.is_up && !server.draining)
         else {
             return;
         };
         match ends {
             // It leaves, and another comes in its place.
             0 => {
-                server.leaving = true;
+                server.draining = true;
                 self.store.append(now, Topic::Servers, &server.id, &server.value());
                 let id = format!("{}+", server.id);
-                let (last, is_engine) = (server.last, server.is_engine);
-                (server.lapses_at, server.starts_at) = (Some(back), Time::MAX);
+                let (last_octet, is_engine) = (server.last_octet, server.is_engine);
+                (server.expires_at, server.starts_at) = (Some(back), Time::MAX);
                 self.servers.push(Backend {
                     id,
                     is_engine,
-                    last,
-                    born: now.as_millis() as u64,
+                    last_octet,
+                    started_ms: now.as_millis() as u64,
                     version: newest,
-                    leaving: false,
+                    draining: false,
                     is_up: false,
                     starts_at: back + ms(100),
                     register_at: None,
-                    lapses_at: None,
-                    loads: None,
+                    expires_at: None,
+                    loading: None,
                     sequence: 0,
                     fence: 0,
                 });
             }
             _ => {
-                (server.is_up, server.loads) = (false, None);
-                (server.starts_at, server.lapses_at) = (back, Some(now + LAPSE));
+                (server.is_up, server.loading) = (false, None);
+                (server.starts_at, server.expires_at) = (back, Some(now + REGISTRATION_TTL));
             }
         }
     }
@@ -175,30 +175,30 @@
         let kept = self
             .blocks
             .iter()
-            .find(|(_, block)| block.kept_at.is_some() && block.gone_at.is_none());
+            .find(|(_, block)| block.stored_at.is_some() && block.removed_at.is_none());
         if let Some((block, _)) = kept.filter(|_| self.rng.bool()) {
             let block = *block;
             self.store.append(self.now, Topic::Routers, &format!("blocked-{block}"), "");
-            self.blocks.entry(block).and_modify(|block| block.gone_at = Some(self.now));
+            self.blocks.entry(block).and_modify(|block| block.removed_at = Some(self.now));
             return;
         }
         let schedules = |vm: &usize| {
             let node = self.vms[*vm].daemon.as_ref().map(|daemon| &daemon.node);
-            node.is_some_and(|node| node.is_scheduler(self.now)) && self.is_calm(*vm)
+            node.is_some_and(|node| node.is_scheduler(self.now)) && self.is_recovered(*vm)
         };
         let Some(vm) = (0..self.vms.len()).find(schedules) else { return };
-        let fingerprint = Fingerprint(1_000 + self.sent);
-        let strikes = (1..=3).map(|server| Interruption {
+        let fingerprint = Fingerprint(1_000 + self.sequence);
+        let interruptions = (1..=3).map(|server| Interruption {
             fingerprint,
-            incarnation: Incarnation { server: self.sent * 10 + server, start: Some(1) },
+            incarnation: Incarnation { server: self.sequence * 10 + server, start: Some(1) },
             pool: 1,
             servers: 100,
             run_time: ms(50),
             age: ms(0),
         });
-        let message = crate::poison::Message::Interruptions(strikes.collect());
-        let by = (vm, self.vms[vm].incarnation);
-        let block = Block { made_at: self.now, by, kept_at: None, gone_at: None };
+        let message = crate::poison::Message::Interruptions(interruptions.collect());
+        let detected_by = (vm, self.vms[vm].incarnation);
+        let block = Block { created_at: self.now, detected_by, stored_at: None, removed_at: None };
         self.blocks.insert(fingerprint.0, block);
         self.apply(vm, Message::Frame(Frame::Poison(message)));
     }
--- a/src/fleet/tests/beliefs/mod.rs
+++ b/src/fleet/tests/beliefs/mod.rs
@@ -15,31 +15,31 @@
 use crate::route::Repeat;
 
 const STEP: Duration = Duration::from_millis(20);
-const QUIET_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// A play: the last part is without new faults.
-const PLAY: Duration = Duration::from_secs(36);
-const FAULTS_UNTIL: Duration = Duration::from_secs(28);
+const RUN_TIME: Duration = Duration::from_secs(36);
+const FAULT_PERIOD: Duration = Duration::from_secs(28);
 /// Time without trouble after which a daemon has no excuse.
-const CALM: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 /// Time from a record's append until all who are calm go by it.
-const NEWS: Duration = Duration::from_secs(2);
+const MAX_PROPAGATION: Duration = Duration::from_secs(2);
 /// The same for what comes by the daemons' own topic, which is read every two seconds.
-const OWN_NEWS: Duration = Duration::from_secs(5);
+const MAX_OWN_TOPIC_PROPAGATION: Duration = Duration::from_secs(5);
 /// Time for which a server may be kept whose registration is gone.
-const RETURN: Duration = Duration::from_millis(2_200);
+const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_200);
 /// Time without registrations after which the store takes one for gone.
-const LAPSE: Duration = Duration::from_millis(1_500);
-const ENGINES: u8 = 6;
-const PLAIN: u8 = 3;
+const REGISTRATION_TTL: Duration = Duration::from_millis(1_500);
+const ENGINE_COUNT: u8 = 6;
+const PLAIN_SERVER_COUNT: u8 = 3;
 /// Where the servers' addresses begin, after those of the daemons.
-const SERVERS: u8 = 201;
+const FIRST_SERVER_ADDRESS: u8 = 201;
 
 /// A daemon's VM.
 struct Vm {
     /// The process, while one runs.
     daemon: Option<Daemon>,
     incarnation: u64,
-    started: Time,
+    started_at: Time,
     next_tick: Time,
     watches: Vec<Watch>,
     register_at: Option<Time>,
@@ -67,41 +67,44 @@
 struct Backend {
     id: String,
     is_engine: bool,
-    last: u8,
-    born: u64,
+    last_octet: u8,
+    started_ms: u64,
     version: u64,
-    leaving: bool,
+    draining: bool,
     is_up: bool,
     starts_at: Time,
     register_at: Option<Time>,
-    lapses_at: Option<Time>,
-    loads: Option<(Time, u64)>,
+    expires_at: Option<Time>,
+    loading: Option<(Time, u64)>,
     sequence: u64,
     fence: u64,
 }
 
 impl Backend {
     fn value(&self) -> String {
-        let state = if self.leaving { "draining" } else { "ready" };
+        let state = if self.draining { "draining" } else { "ready" };
         match self.is_engine {
-            true => format!("engine {} {state} {} born:{}", self.last, self.version, self.born),
-            false => format!("plain {} {state} born:{}", self.last, self.born),
+            true => format!(
+                "engine {} {state} {} born:{}",
+                self.last_octet, self.version, self.started_ms
+            ),
+            false => format!("plain {} {state} born:{}", self.last_octet, self.started_ms),
         }
     }
 }
 
 /// What operators did to a request that ends servers.
 struct Block {
-    made_at: Time,
+    created_at: Time,
     /// Who counted its strikes, in which incarnation.
-    by: (usize, u64),
-    kept_at: Option<Time>,
-    gone_at: Option<Time>,
+    detected_by: (usize, u64),
+    stored_at: Option<Time>,
+    removed_at: Option<Time>,
 }
 
 /// What a daemon goes by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Belief {
+enum Invariant {
     Weights,
     Table,
     Server,
@@ -112,13 +115,13 @@
 }
 
 /// What is under way to a daemon.
-enum Post {
+enum Payload {
     Frame(Vec<u8>),
     Message(Box<Message>),
 }
 
-impl Post {
-    fn of(message: Message) -> Self {
+impl Payload {
+    fn from_message(message: Message) -> Self {
         Self::Message(Box::new(message))
     }
 }
@@ -131,22 +134,22 @@
     vms: Vec<Vm>,
     servers: Vec<Backend>,
     /// By the time at which it comes: the VM, the incarnation that it is for, and what.
-    post: BTreeMap<(Time, u64), (usize, u64, Post)>,
+    in_transit: BTreeMap<(Time, u64), (usize, u64, Payload)>,
     /// Appends under way.
     appends: BTreeMap<(Time, u64), Append>,
     faults: Vec<(Time, usize, Fault)>,
-    sent: u64,
-    config: u64,
+    sequence: u64,
+    table_version: u64,
     /// When each version of the weights was named.
-    named: Vec<(u64, Time)>,
-    configured: Vec<(u64, Time)>,
+    weights_versions: Vec<(u64, Time)>,
+    table_versions: Vec<(u64, Time)>,
     blocks: BTreeMap<u64, Block>,
-    next: [Time; 4],
+    next_change_at: [Time; 4],
     highest_fence: u64,
-    checked: u64,
-    sends: u64,
+    check_count: u64,
+    dispatch_count: u64,
     /// The first of each kind.
-    wrong: BTreeMap<Belief, String>,
+    violations: BTreeMap<Invariant, String>,
 }
 
 enum Append {
@@ -163,35 +166,35 @@
             store: Store::default(),
             vms: Vec::new(),
             servers: Vec::new(),
-            post: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             appends: BTreeMap::new(),
             faults: Vec::new(),
-            sent: 0,
-            config: 0,
-            named: vec![(1, Time::ZERO)],
-            configured: Vec::new(),
+            sequence: 0,
+            table_version: 0,
+            weights_versions: vec![(1, Time::ZERO)],
+            table_versions: Vec::new(),
             blocks: BTreeMap::new(),
-            next: [ms(14_000); 4],
+            next_change_at: [ms(14_000); 4],
             highest_fence: 0,
-            checked: 0,
-            sends: 0,
-            wrong: BTreeMap::new(),
+            check_count: 0,
+            dispatch_count: 0,
+            violations: BTreeMap::new(),
         };
-        world.configure();
+        world.publish_table();
         world.store.append(Time::ZERO, Topic::Operator, "version/m", "weights 1");
-        for number in 0..ENGINES + PLAIN {
+        for number in 0..ENGINE_COUNT + PLAIN_SERVER_COUNT {
             let server = Backend {
                 id: format!("s-{number}"),
-                is_engine: number < ENGINES,
-                last: SERVERS + number,
-                born: 1,
+                is_engine: number < ENGINE_COUNT,
+                last_octet: FIRST_SERVER_ADDRESS + number,
+                started_ms: 1,
                 version: 1,
-                leaving: false,
+                draining: false,
                 is_up: true,
                 starts_at: Time::ZERO,
                 register_at: None,
-                lapses_at: None,
-                loads: None,
+                expires_at: None,
+                loading: None,
                 sequence: 0,
                 fence: 0,
             };
@@ -205,7 +208,7 @@
             world.vms.push(Vm {
                 daemon: None,
                 incarnation: 0,
-                started: world.now,
+                started_at: world.now,
                 next_tick: world.now,
                 watches: Vec::new(),
                 register_at: None,
@@ -219,23 +222,23 @@
         world
     }
 
-    fn play(mut self) -> Self {
-        let end = self.now + PLAY;
-        let quiet = self.now + FAULTS_UNTIL;
+    fn run(mut self) -> Self {
+        let end = self.now + RUN_TIME;
+        let quiet = self.now + FAULT_PERIOD;
         while self.now < end {
             self.now += STEP;
             if self.now < quiet {
-                self.trouble();
-                self.change();
+                self.inject_faults();
+                self.change_state();
             }
             self.faults.retain(|(until, ..)| self.now < *until);
             self.run_servers();
-            self.land();
-            self.deliver();
+            self.apply_appends();
+            self.deliver_due();
             for index in 0..self.vms.len() {
-                self.run(index);
+                self.run_vm(index);
             }
-            self.ask();
+            self.send_request();
             if self.now.as_millis().is_multiple_of(100) {
                 self.check();
             }
@@ -253,39 +256,39 @@
     }
 }
 
-fn play(daemons: u8, few: u64) {
-    let mut wrong = Vec::new();
+fn run(daemons: u8, few: u64) {
+    let mut violations = Vec::new();
     for seed in seeds(few) {
-        let world = World::new(daemons, seed).play();
+        let world = World::new(daemons, seed).run();
         println!(
             "{daemons} daemons, seed {seed}: {} looks, {} sends, {} versions, {} wrong",
-            world.checked,
-            world.sends,
-            world.named.len(),
-            world.wrong.len(),
+            world.check_count,
+            world.dispatch_count,
+            world.weights_versions.len(),
+            world.violations.len(),
         );
-        wrong.extend(world.wrong.into_values());
+        violations.extend(world.violations.into_values());
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
-fn beliefs_of_3_daemons_hold() {
-    play(3, 6);
+fn invariants_of_3_daemons_hold() {
+    run(3, 6);
 }
 
 #[test]
-fn beliefs_of_9_daemons_hold() {
-    play(9, 4);
+fn invariants_of_9_daemons_hold() {
+    run(9, 4);
 }
 
 #[test]
-fn beliefs_of_71_daemons_hold() {
-    play(71, 1);
+fn invariants_of_71_daemons_hold() {
+    run(71, 1);
 }
 
 // Half a minute a seed: by hand only.
 #[test]
-fn beliefs_of_195_daemons_hold() {
-    play(195, 0);
+fn invariants_of_195_daemons_hold() {
+    run(195, 0);
 }
