--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -19,18 +19,18 @@
 }
 
 /// A peer's word comes.
-fn told(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
+fn receive_records(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
     daemon.node.apply(now, Message::Frame(Frame::Records(batch)))
 }
 
 /// Everything that the store has of a topic comes.
-fn read_whole(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
+fn read_snapshot(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
     daemon.node.apply(now, Message::Read(Read { batch, is_snapshot: true, current_at: now }))
 }
 
 fn dispatches(daemon: &mut Daemon, now: Time, pool: &str) -> Vec<Dispatch> {
-    let wanted = (pool == "engines").then(|| prompt(7, 3));
-    let (request, effects) = daemon.arrive(now, &route(pool, Repeat::AtMostOnce, 1), wanted);
+    let prompt = (pool == "engines").then(|| prompt(7, 3));
+    let (request, effects) = daemon.arrive(now, &route(pool, Repeat::AtMostOnce, 1), prompt);
     daemon.node.apply(now, Message::Cancel(request));
     let sent = commands(&effects).into_iter().filter_map(|command| match command {
         Command::Dispatch(dispatch) => Some(dispatch),
@@ -39,7 +39,7 @@
     sent.collect()
 }
 
-fn registered(daemon: &Daemon) -> Vec<&str> {
+fn registered_ids(daemon: &Daemon) -> Vec<&str> {
     let ids = daemon.node.servers.values().map(|server| server.entry.incarnation.id.as_str());
     ids.collect::<BTreeSet<&str>>().into_iter().collect()
 }
@@ -47,15 +47,15 @@
 // A daemon that started while servers changed was told of one of them by a peer, took that for the whole
 // topic, and said that it was ready: with one server for all callers of the VM.
 #[test]
-fn one_server_that_a_peer_tells_of_does_not_make_a_daemon_ready() {
+fn one_server_record_from_a_peer_does_not_make_a_daemon_ready() {
     let mut daemon = Daemon::new(1);
-    read_whole(
+    read_snapshot(
         &mut daemon,
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
     let news = batch(Topic::Servers, 40, 41, &[record("s-9", 40, "plain 19 ready")]);
-    told(&mut daemon, ms(20), news);
+    receive_records(&mut daemon, ms(20), news);
     assert_eq!(dispatches(&mut daemon, ms(30), "plain").len(), 1, "what it says holds");
     assert!(!daemon.node.is_ready());
 }
@@ -63,15 +63,19 @@
 // A peer that had only just started itself was asked, since its digest of before was still fresh, and had
 // nothing to answer with: that was taken for a topic without records.
 #[test]
-fn answer_of_a_peer_that_has_read_nothing_does_not_make_a_daemon_ready() {
+fn answer_from_a_peer_without_records_does_not_make_a_daemon_ready() {
     let mut daemon = Daemon::new(1);
-    read_whole(
+    read_snapshot(
         &mut daemon,
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
     let mut peer = Daemon::new(2);
-    told(&mut peer, ms(10), batch(Topic::Routers, 8, 9, &[record("router-1", 8, "router 1")]));
+    receive_records(
+        &mut peer,
+        ms(10),
+        batch(Topic::Routers, 8, 9, &[record("router-1", 8, "router 1")]),
+    );
     let ask = Frame::Fetch("router-1".into(), Topic::Servers, 0);
     for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
         if let Effect::Send(_, frame) = effect {
@@ -84,58 +88,66 @@
 // A daemon that started was told of a new configuration, read the servers, and served: which weights had
 // been named it did not know yet, and took that for none.
 #[test]
-fn nothing_begins_before_it_is_known_which_weights_were_named() {
+fn no_request_is_sent_before_the_named_weights_are_known() {
     let mut daemon = Daemon::new(1);
-    told(&mut daemon, ms(10), batch(Topic::Operator, 9, 10, &[record("config", 9, "table 2")]));
+    receive_records(
+        &mut daemon,
+        ms(10),
+        batch(Topic::Operator, 9, 10, &[record("config", 9, "table 2")]),
+    );
     let engines = [record("e-1", 0, "engine 21 ready 1")];
-    read_whole(&mut daemon, ms(20), batch(Topic::Servers, 0, 1, &engines));
+    read_snapshot(&mut daemon, ms(20), batch(Topic::Servers, 0, 1, &engines));
     assert!(dispatches(&mut daemon, ms(30), "engines").is_empty());
     assert!(!daemon.node.is_ready());
 }
 
 // A daemon that is told of one other takes the two of them for all, and half of the retry budget of 195.
 #[test]
-fn one_router_that_a_peer_tells_of_is_not_all_that_share_the_retry_budget() {
+fn one_router_record_from_a_peer_does_not_raise_the_retry_budget_share() {
     let mut daemon = Daemon::new(1);
     let unknown = daemon.node.daemon_count();
-    told(&mut daemon, ms(20), batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]));
+    receive_records(
+        &mut daemon,
+        ms(20),
+        batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]),
+    );
     assert!(daemon.node.daemon_count() >= unknown, "{} of {unknown}", daemon.node.daemon_count());
 }
 
 // A registration that was the last but one record, and whose removal was the last, is not listed: since the
 // listed ones all lie before it, it was taken for newer than the list, and stayed for good.
 #[test]
-fn key_whose_removal_was_the_last_record_is_missing_from_a_whole_read() {
+fn snapshot_removes_a_key_whose_removal_was_the_last_record() {
     let mut daemon =
         Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     // The store forgot its history, the removal at 2 with it.
     let left = [record("s-1", 0, "plain 11 ready")];
-    read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &left));
-    assert_eq!(registered(&daemon), ["s-1"]);
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &left));
+    assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
 // All registrations were gone when the list was read: an empty list removed nothing.
 #[test]
-fn whole_read_that_lists_nothing_removes_everything() {
+fn empty_snapshot_removes_all_servers() {
     let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
-    read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 2, &[]));
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 2, &[]));
     assert!(dispatches(&mut daemon, ms(20), "plain").is_empty());
 }
 
 // The pages of a list are no snapshot: a server that registered after the first page was read, and of which
 // a peer tells, is not on it, though another that registered later is on the second page.
 #[test]
-fn server_that_registers_between_two_pages_is_not_missing() {
+fn snapshot_keeps_a_server_that_registered_between_two_pages() {
     let mut daemon = Daemon::new(1);
-    read_whole(
+    read_snapshot(
         &mut daemon,
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
     let peer = [record("a", 10, "plain 11 ready")];
-    told(&mut daemon, ms(20), batch(Topic::Servers, 10, 11, &peer));
+    receive_records(&mut daemon, ms(20), batch(Topic::Servers, 10, 11, &peer));
     let pages = [record("k", 3, "plain 12 draining"), record("z", 11, "plain 13 draining")];
-    read_whole(&mut daemon, ms(30), batch(Topic::Servers, 0, 10, &pages));
+    read_snapshot(&mut daemon, ms(30), batch(Topic::Servers, 0, 10, &pages));
     let read = Read {
         batch: batch(Topic::Servers, 10, 12, &[peer[0].clone()]),
         is_snapshot: false,
@@ -154,7 +166,7 @@
         Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let mut peer = Daemon::new(2);
     let left = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
-    read_whole(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
+    read_snapshot(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
     let from = cut_off.node.end_offset(Topic::Servers);
     let routers = [("router-1", "router 1")];
     peer.deliver_records(ms(10), Topic::Routers, &routers);
@@ -165,25 +177,29 @@
         }
     }
     let end = cut_off.node.end_offset(Topic::Servers);
-    assert!(end < 4 || registered(&cut_off) == ["s-1", "s-3"], "{:?}", registered(&cut_off));
+    assert!(
+        end < 4 || registered_ids(&cut_off) == ["s-1", "s-3"],
+        "{:?}",
+        registered_ids(&cut_off)
+    );
 }
 
 // A daemon that had just read the list of what is left was told late, by a peer's frame of two seconds before, of a
 // registration that had been removed meanwhile: it knew of no removal, and took it for new.
 #[test]
-fn late_record_of_a_key_that_was_not_listed_does_not_bring_it_back() {
+fn late_record_does_not_restore_a_key_missing_from_the_snapshot() {
     let mut daemon = Daemon::new(1);
     let left = [record("s-1", 0, "plain 11 ready")];
-    read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 9, &left));
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 9, &left));
     let late = batch(Topic::Servers, 5, 6, &[record("s-2", 5, "plain 12 ready")]);
-    told(&mut daemon, ms(20), late);
-    assert_eq!(registered(&daemon), ["s-1"]);
+    receive_records(&mut daemon, ms(20), late);
+    assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
 // An engine that was leaving ended and started again under its id while it was asked whether it had carried
 // an order out. Its new life took over that it was leaving, and no registration takes that back.
 #[test]
-fn next_life_that_an_engine_reports_itself_does_not_leave() {
+fn next_incarnation_reported_by_an_engine_is_not_draining() {
     let mut daemon = Daemon::with_servers(1, &[("e-1", "engine 21 ready 1 born:5")]);
     daemon.deliver_records(ms(10), Topic::Servers, &[("e-1", "engine 21 draining 1 born:5")]);
     let key = daemon.node.servers.keys().next().expect("it is registered");
@@ -198,7 +214,7 @@
 // as it knew it, and all others blocked the request again, for a day from then on, and had the store keep it. The
 // node took a peer's word on blocks as new, however late it came.
 #[test]
-fn block_that_was_taken_away_does_not_come_back_by_a_late_word() {
+fn removed_block_is_not_restored_by_a_late_message() {
     let fatal = Fingerprint(77);
     let mut daemon = Daemon::new(1);
     daemon.deliver_records(ms(0), Topic::Routers, &[("blocked-77", "blocked 77")]);
@@ -225,14 +241,14 @@
 // took nine sixths of the repeats, "81 of 54 repeats are taken", 71 of them 639; and who had not read of the others
 // took a sixteenth of what daemons share that do not schedule.
 #[test]
-fn daemons_that_start_together_take_no_more_than_the_whole_retry_budget() {
+fn daemons_that_start_together_share_one_retry_budget() {
     let router = |last: u64| record(&format!("router-{last}"), last - 1, &format!("router {last}"));
     let routers: Vec<Record> = (1..=71).map(router).collect();
     let shares = (1..=71).map(|last| {
         let mut daemon = Daemon::new(last);
         daemon.tick(ms(10));
         let before = daemon.node.retry_terms(ms(15)).slack;
-        read_whole(&mut daemon, ms(20), batch(Topic::Routers, 0, 71, &routers));
+        read_snapshot(&mut daemon, ms(20), batch(Topic::Routers, 0, 71, &routers));
         before.max(daemon.node.retry_terms(ms(30)).slack)
     });
     let taken: f64 = shares.sum();
@@ -242,7 +258,7 @@
 // More removals than are kept came past a gap. What was forgotten of them says nothing of the records in the gap,
 // and these were refused as gone when they came.
 #[test]
-fn removals_forgotten_past_a_gap_shut_out_nothing_before_them() {
+fn removals_trimmed_after_a_gap_reject_no_record_before_them() {
     let mut catalog = Catalog::default();
     for offset in 10_000..15_000 {
         catalog.insert(Topic::Servers, &record(&format!("s-{offset}"), offset, ""));
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 use crate::route::Repeat;
 
-const OLD: &str = "engine 201 ready 1";
+const OLD_ENGINE: &str = "engine 201 ready 1";
 
 fn naming(version: u64, age: Duration) -> Naming {
     Naming { model: "m".into(), version, age: Some(age) }
@@ -23,7 +23,7 @@
     (request, sent)
 }
 
-fn is_given_up(effects: &[Effect]) -> bool {
+fn gives_up(effects: &[Effect]) -> bool {
     commands(effects).iter().any(|command| matches!(command, Command::GiveUp))
 }
 
@@ -40,8 +40,8 @@
 // whose reads are still in flight as far as they know: they take the weights for named just now. The one that read
 // doesn't know, and takes over what they say; nobody corrects them.
 #[test]
-fn named_after_an_outage_that_swallowed_all_reads() {
-    let mut site = Site::new(3, &[("e-1", OLD)]);
+fn weights_named_in_an_outage_that_lost_all_reads_expire_in_time() {
+    let mut site = Site::new(3, &[("e-1", OLD_ENGINE)]);
     let failed = || Message::ReadFailed(Dependency::Topic(Topic::Operator), "no answer".into());
     site.daemons[0].finish_empty_read(site.now);
     site.advance(ms(400));
@@ -67,9 +67,10 @@
     }
     let end = named_at + POLICY.weights_limit;
     site.advance(end + ms(100) - site.now);
-    let true_age = site.now - named_at;
-    let ages = site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
-    let ages: Vec<Option<Duration>> = ages.collect();
+    let age = site.now - named_at;
+    let believed_ages =
+        site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
+    let believed_ages: Vec<Option<Duration>> = believed_ages.collect();
     for index in 0..3 {
         site.arrive(index, "engines", Repeat::AtMostOnce);
     }
@@ -78,15 +79,15 @@
         Command::Refuse(..) | Command::GiveUp => None,
     });
     let sent: Vec<u64> = sent.collect();
-    assert!(sent.is_empty(), "{sent:?} {true_age:?} after the naming, believed {ages:?}");
+    assert!(sent.is_empty(), "{sent:?} {age:?} after the naming, believed {believed_ages:?}");
 }
 
 // The store ends for not quite two seconds as weights are named: every daemon's read fails, and the next one has the
 // version. Each takes it for named just now, since it had known 1.9 s before that it missed nothing. A request that
 // waits in an engine's queue is taken back 1.5 s after the limit.
 #[test]
-fn named_as_the_store_ended_is_recalled_within_the_limit() {
-    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
+fn weights_named_at_a_store_crash_recall_requests_within_the_limit() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD_ENGINE)]);
     for time in (0..=4_000).step_by(50) {
         daemon.tick(ms(time));
     }
@@ -107,7 +108,7 @@
     let mut now = ms(11_400);
     while now < end {
         now += ms(20);
-        recalled |= is_given_up(&daemon.tick(now));
+        recalled |= gives_up(&daemon.tick(now));
     }
     let believed = daemon.node.superseded_for(now, "m", 1);
     assert!(recalled, "not begun {:?} after the naming, believed {believed:?}", now - named_at);
@@ -117,14 +118,14 @@
 // and its place in the list, and what is not known of it, goes to version 3; a peer's word on 3 is then taken for
 // it. An engine that has started again with version 1 is used, though it was overtaken nobody knows when.
 #[test]
-fn forgotten_version_of_unknown_age_stays_unknown() {
+fn age_of_a_forgotten_version_stays_unknown() {
     let mut daemon = Daemon::new(1);
     daemon.deliver_records(
         ms(20),
         Topic::Operator,
         &[("version/m", "weights 2"), ("config", "table 1")],
     );
-    daemon.deliver_records(ms(20), Topic::Servers, &[("e-1", OLD)]);
+    daemon.deliver_records(ms(20), Topic::Servers, &[("e-1", OLD_ENGINE)]);
     assert_eq!(send(&mut daemon, ms(30)).1, None);
     for version in 3..=18 {
         let value = format!("weights {version}");
@@ -145,9 +146,9 @@
 // daemon that has the request knows the limit as well, but takes nothing back that a scheduler placed, until
 // it no longer counts the scheduler as there, 1.75 s after its last word.
 #[test]
-fn placed_by_a_scheduler_that_ended_is_recalled_within_the_limit() {
+fn request_placed_by_a_crashed_scheduler_is_recalled_within_the_limit() {
     for scheduler_ends in [false, true] {
-        let mut site = Site::new(9, &[("e-1", OLD)]);
+        let mut site = Site::new(9, &[("e-1", OLD_ENGINE)]);
         for daemon in &mut site.daemons {
             daemon.finish_empty_read(site.now);
             daemon.deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
@@ -162,9 +163,9 @@
             site.down.insert(scheduler);
         }
         site.advance(named_at + POLICY.weights_limit - site.now);
-        let told = site.commands(other, key);
-        let given_up = told.iter().any(|command| matches!(command, Command::GiveUp));
-        assert!(given_up, "the scheduler ends: {scheduler_ends}; {told:?}");
+        let commands = site.commands(other, key);
+        let given_up = commands.iter().any(|command| matches!(command, Command::GiveUp));
+        assert!(given_up, "the scheduler ends: {scheduler_ends}; {commands:?}");
     }
 }
 
@@ -172,8 +173,8 @@
 // next read, asked as the answer came at 5.5 s, brings them at 7.0 s. Every daemon reads on, and takes them for named
 // then, though all that it knows is that they were not named at 4.0 s.
 #[test]
-fn named_while_the_store_answers_late() {
-    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
+fn weights_named_while_the_store_answers_late_expire_in_time() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD_ENGINE)]);
     let named_at = ms(4_100);
     let end = daemon.node.end_offset(Topic::Operator);
     let read = |asked, to, records| {
@@ -199,8 +200,8 @@
 // that what it has read is as old as the answer. A daemon that hears it takes nothing for missed until 5.5 s, and the
 // weights that it hears of at 7.4 s for named then. They were named at 4.1 s.
 #[test]
-fn contact_through_a_peer_counts_from_when_the_peer_asked() {
-    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD)]);
+fn contact_through_a_peer_counts_from_the_start_of_its_read() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD_ENGINE)]);
     daemon.deliver_records(ms(0), Topic::Routers, &[("router-2", "router 2")]);
     let mut peer = Daemon::with_servers(2, &[]);
     peer.deliver_records(ms(0), Topic::Routers, &[("router-1", "router 1")]);
@@ -220,8 +221,8 @@
     let read = Read { batch, is_snapshot: false, current_at: ms(4_000) };
     peer.node.apply(ms(5_500), Message::Read(read));
     for time in (5_550..7_400).step_by(50) {
-        let told = digests(peer.tick(ms(time)));
-        for frame in told.into_iter().filter(|_| time < 6_000) {
+        let frames = digests(peer.tick(ms(time)));
+        for frame in frames.into_iter().filter(|_| time < 6_000) {
             daemon.node.apply(ms(time), Message::Frame(frame));
         }
         for frame in digests(daemon.tick(ms(time))) {
