--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -32,11 +32,11 @@
     let prompt = (pool == "engines").then(|| prompt(7, 3));
     let (request, effects) = daemon.arrive(now, &route(pool, Repeat::AtMostOnce, 1), prompt);
     daemon.node.apply(now, Message::Cancel(request));
-    let sent = commands(&effects).into_iter().filter_map(|command| match command {
+    let dispatches = commands(&effects).into_iter().filter_map(|command| match command {
         Command::Dispatch(dispatch) => Some(dispatch),
         _ => None,
     });
-    sent.collect()
+    dispatches.collect()
 }
 
 fn registered_ids(daemon: &Daemon) -> Vec<&str> {
@@ -54,8 +54,8 @@
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
-    let news = batch(Topic::Servers, 40, 41, &[record("s-9", 40, "plain 19 ready")]);
-    receive_records(&mut daemon, ms(20), news);
+    let records = batch(Topic::Servers, 40, 41, &[record("s-9", 40, "plain 19 ready")]);
+    receive_records(&mut daemon, ms(20), records);
     assert_eq!(dispatches(&mut daemon, ms(30), "plain").len(), 1, "what it says holds");
     assert!(!daemon.node.is_ready());
 }
@@ -76,8 +76,8 @@
         ms(10),
         batch(Topic::Routers, 8, 9, &[record("router-1", 8, "router 1")]),
     );
-    let ask = Frame::Fetch("router-1".into(), Topic::Servers, 0);
-    for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
+    let fetch = Frame::Fetch("router-1".into(), Topic::Servers, 0);
+    for effect in peer.node.apply(ms(20), Message::Frame(fetch)) {
         if let Effect::Send(_, frame) = effect {
             daemon.node.apply(ms(30), Message::Frame(frame));
         }
@@ -105,13 +105,13 @@
 #[test]
 fn one_router_record_from_a_peer_does_not_raise_the_retry_budget_share() {
     let mut daemon = Daemon::new(1);
-    let unknown = daemon.node.daemon_count();
+    let initial = daemon.node.daemon_count();
     receive_records(
         &mut daemon,
         ms(20),
         batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]),
     );
-    assert!(daemon.node.daemon_count() >= unknown, "{} of {unknown}", daemon.node.daemon_count());
+    assert!(daemon.node.daemon_count() >= initial, "{} of {initial}", daemon.node.daemon_count());
 }
 
 // A registration that was the last but one record, and whose removal was the last, is not listed: since the
@@ -121,8 +121,8 @@
     let mut daemon =
         Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     // The store forgot its history, the removal at 2 with it.
-    let left = [record("s-1", 0, "plain 11 ready")];
-    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &left));
+    let remaining = [record("s-1", 0, "plain 11 ready")];
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &remaining));
     assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
@@ -165,13 +165,13 @@
     let mut cut_off =
         Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let mut peer = Daemon::new(2);
-    let left = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
-    read_snapshot(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
+    let remaining = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
+    read_snapshot(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &remaining));
     let from = cut_off.node.end_offset(Topic::Servers);
     let routers = [("router-1", "router 1")];
     peer.deliver_records(ms(10), Topic::Routers, &routers);
-    let ask = Frame::Fetch("router-1".into(), Topic::Servers, from);
-    for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
+    let fetch = Frame::Fetch("router-1".into(), Topic::Servers, from);
+    for effect in peer.node.apply(ms(20), Message::Frame(fetch)) {
         if let Effect::Send(_, frame) = effect {
             cut_off.node.apply(ms(30), Message::Frame(frame));
         }
@@ -189,8 +189,8 @@
 #[test]
 fn late_record_does_not_restore_a_key_missing_from_the_snapshot() {
     let mut daemon = Daemon::new(1);
-    let left = [record("s-1", 0, "plain 11 ready")];
-    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 9, &left));
+    let remaining = [record("s-1", 0, "plain 11 ready")];
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 9, &remaining));
     let late = batch(Topic::Servers, 5, 6, &[record("s-2", 5, "plain 12 ready")]);
     receive_records(&mut daemon, ms(20), late);
     assert_eq!(registered_ids(&daemon), ["s-1"]);
@@ -220,16 +220,16 @@
     daemon.deliver_records(ms(0), Topic::Routers, &[("blocked-77", "blocked 77")]);
     assert!(daemon.node.poison.is_blocked(fatal));
     daemon.deliver_records(ms(1_000), Topic::Routers, &[("blocked-77", "")]);
-    let told = crate::poison::Blocked { fingerprint: fatal, age: Duration::ZERO };
+    let block = crate::poison::Blocked { fingerprint: fatal, age: Duration::ZERO };
     let late = Digest {
         daemon: "router-3".into(),
         address: address(3).to_string(),
-        blocked: vec![told],
+        blocked: vec![block],
         ..Digest::default()
     };
     daemon.node.apply(ms(1_100), Message::Frame(Frame::Digest(Box::new(late))));
     assert!(!daemon.node.poison.is_blocked(fatal));
-    let late = crate::poison::Message::Blocked(vec![told]);
+    let late = crate::poison::Message::Blocked(vec![block]);
     daemon.node.apply(ms(1_200), Message::Frame(Frame::Poison(late)));
     assert!(!daemon.node.poison.is_blocked(fatal));
     // The store's own next word counts.
--- a/src/fleet/tests/site.rs
+++ b/src/fleet/tests/site.rs
@@ -112,12 +112,12 @@
                     let to = daemons.filter(|i| to.contains(&address(*i as u8 + 1)));
                     messages.extend(to.map(|to| (to, Message::Frame(frame.clone()))));
                 }
-                Effect::Probe(victim, address) => {
+                Effect::Probe(incarnation, address) => {
                     let answer = match self.crashed_servers.contains(&address) {
                         true => Answer::Refused,
                         false => Answer::Accepted,
                     };
-                    messages.push((index, Message::Probed(victim, answer)));
+                    messages.push((index, Message::Probed(incarnation, answer)));
                 }
                 Effect::WriteBlock(fingerprint, age) => {
                     self.block_writes.push((fingerprint, age.is_some()))
@@ -152,11 +152,11 @@
 
     /// What traffic was told at all daemons since the last look.
     pub fn take_commands(&mut self) -> Vec<(usize, Key, Command)> {
-        let told = self.sent_commands.iter_mut().map(std::mem::take).enumerate();
-        let told = told.flat_map(|(daemon, told)| {
-            told.into_iter().map(move |(key, command)| (daemon, key, command))
+        let commands = self.sent_commands.iter_mut().map(std::mem::take).enumerate();
+        let commands = commands.flat_map(|(daemon, commands)| {
+            commands.into_iter().map(move |(key, command)| (daemon, key, command))
         });
-        told.collect()
+        commands.collect()
     }
 
     pub fn report(&mut self, index: usize, request: Key, attempt: u32, report: Report) {
@@ -165,8 +165,8 @@
 
     /// What traffic was told of a request since the last look.
     pub fn commands(&mut self, index: usize, key: Key) -> Vec<Command> {
-        let told = std::mem::take(&mut self.sent_commands[index]);
-        told.into_iter().filter(|(of, _)| *of == key).map(|(_, command)| command).collect()
+        let commands = std::mem::take(&mut self.sent_commands[index]);
+        commands.into_iter().filter(|(of, _)| *of == key).map(|(_, command)| command).collect()
     }
 
     pub fn only_dispatch(&mut self, index: usize, key: Key) -> Dispatch {
@@ -191,10 +191,10 @@
 
     /// A daemon that does not schedule.
     pub fn non_scheduler(&self) -> usize {
-        let other = |index: &usize| {
+        let is_non_scheduler = |index: &usize| {
             !self.down.contains(index) && !self.daemons[*index].node.is_scheduler(self.now)
         };
-        (0..self.daemons.len()).find(other).expect("most do not schedule")
+        (0..self.daemons.len()).find(is_non_scheduler).expect("most do not schedule")
     }
 
     /// Requests that a daemon counts at all servers.
