--- a/src/fleet/tests/mod.rs
+++ b/src/fleet/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Histories of nodes, driven by messages alone.
+//! Tests of nodes that are driven by messages alone, without sockets or threads.
 
 mod admission;
 mod beliefs;
--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -1,7 +1,7 @@
-//! A part of a topic is no topic, and what is handed on is as old as it was.
+//! Partial knowledge of a topic, and records from peers that arrive late.
 //!
-//! Daemons are told of single records by peers before they have read anything themselves. Whatever such a
-//! part says holds; what it does not say is unknown, not absent.
+//! Peers send a daemon single records before it has read a topic itself. These records apply, but keys
+//! without a record are unknown, not absent.
 
 use super::world::*;
 use crate::fleet::*;
@@ -18,12 +18,12 @@
     Batch { topic, from, to, records: records.to_vec() }
 }
 
-/// A peer's word comes.
+/// Delivers records from a peer.
 fn receive_records(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
     daemon.node.apply(now, Message::Frame(Frame::Records(batch)))
 }
 
-/// Everything that the store has of a topic comes.
+/// Delivers a snapshot of a topic from the store.
 fn read_snapshot(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
     daemon.node.apply(now, Message::Read(Read { batch, is_snapshot: true, current_at: now }))
 }
@@ -44,8 +44,8 @@
     ids.collect::<BTreeSet<&str>>().into_iter().collect()
 }
 
-// A daemon that started while servers changed was told of one of them by a peer, took that for the whole
-// topic, and said that it was ready: with one server for all callers of the VM.
+// A starting daemon took one server record from a peer for the whole topic and became ready, with one
+// server for all callers of the VM.
 #[test]
 fn one_server_record_from_a_peer_does_not_make_a_daemon_ready() {
     let mut daemon = Daemon::new(1);
@@ -56,12 +56,16 @@
     );
     let records = batch(Topic::Servers, 40, 41, &[record("s-9", 40, "plain 19 ready")]);
     receive_records(&mut daemon, ms(20), records);
-    assert_eq!(dispatches(&mut daemon, ms(30), "plain").len(), 1, "what it says holds");
+    assert_eq!(
+        dispatches(&mut daemon, ms(30), "plain").len(),
+        1,
+        "the record from the peer applies"
+    );
     assert!(!daemon.node.is_ready());
 }
 
-// A peer that had only just started itself was asked, since its digest of before was still fresh, and had
-// nothing to answer with: that was taken for a topic without records.
+// A daemon fetched from a peer that had just restarted, as the digest of its former incarnation was still
+// live. The empty answer was taken for a topic without records.
 #[test]
 fn answer_from_a_peer_without_records_does_not_make_a_daemon_ready() {
     let mut daemon = Daemon::new(1);
@@ -85,8 +89,8 @@
     assert!(!daemon.node.is_ready());
 }
 
-// A daemon that started was told of a new configuration, read the servers, and served: which weights had
-// been named it did not know yet, and took that for none.
+// A starting daemon received a configuration from a peer, read the servers and served requests. It did not
+// know the named weights yet and assumed that none were named.
 #[test]
 fn no_request_is_sent_before_the_named_weights_are_known() {
     let mut daemon = Daemon::new(1);
@@ -101,7 +105,7 @@
     assert!(!daemon.node.is_ready());
 }
 
-// A daemon that is told of one other takes the two of them for all, and half of the retry budget of 195.
+// A daemon that knew one peer assumed two daemons in all, and took half of the retry budget of 195 daemons.
 #[test]
 fn one_router_record_from_a_peer_does_not_raise_the_retry_budget_share() {
     let mut daemon = Daemon::new(1);
@@ -114,19 +118,19 @@
     assert!(daemon.node.daemon_count() >= initial, "{} of {initial}", daemon.node.daemon_count());
 }
 
-// A registration that was the last but one record, and whose removal was the last, is not listed: since the
-// listed ones all lie before it, it was taken for newer than the list, and stayed for good.
+// The last two records were a registration and its removal, so the snapshot doesn't list the key. All listed
+// offsets are lower, so the registration was taken for newer than the snapshot and never removed.
 #[test]
 fn snapshot_removes_a_key_whose_removal_was_the_last_record() {
     let mut daemon =
         Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
-    // The store forgot its history, the removal at 2 with it.
+    // Compaction dropped the removal at offset 2.
     let remaining = [record("s-1", 0, "plain 11 ready")];
     read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &remaining));
     assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
-// All registrations were gone when the list was read: an empty list removed nothing.
+// All registrations were gone when the snapshot was read, and an empty snapshot removed nothing.
 #[test]
 fn empty_snapshot_removes_all_servers() {
     let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
@@ -134,8 +138,8 @@
     assert!(dispatches(&mut daemon, ms(20), "plain").is_empty());
 }
 
-// The pages of a list are no snapshot: a server that registered after the first page was read, and of which
-// a peer tells, is not on it, though another that registered later is on the second page.
+// The pages of a snapshot are read at different times. A server that registered after the read of the first
+// page is missing from it, though the second page lists one that registered later. A peer sent its record.
 #[test]
 fn snapshot_keeps_a_server_that_registered_between_two_pages() {
     let mut daemon = Daemon::new(1);
@@ -158,8 +162,8 @@
     assert!(matches!(&sent[..], [dispatch] if dispatch.server == "a"), "{sent:?}");
 }
 
-// A daemon that was cut off asks a peer for what it missed. The peer has started again meanwhile and has read
-// the list of what is left: it knows of no removals, and yet its answer was taken for all that had happened.
+// A daemon that was cut off fetches the missed records from a peer. The peer has restarted and read a snapshot,
+// so it knows no removals, yet its answer was taken for the complete history.
 #[test]
 fn removal_is_learnt_from_a_peer_that_started_after_it() {
     let mut cut_off =
@@ -184,8 +188,8 @@
     );
 }
 
-// A daemon that had just read the list of what is left was told late, by a peer's frame of two seconds before, of a
-// registration that had been removed meanwhile: it knew of no removal, and took it for new.
+// After a daemon read a snapshot, a peer's frame that was two seconds old brought a registration which had been
+// removed since. The daemon knew of no removal and took the registration for new.
 #[test]
 fn late_record_does_not_restore_a_key_missing_from_the_snapshot() {
     let mut daemon = Daemon::new(1);
@@ -196,13 +200,13 @@
     assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
-// An engine that was leaving ended and started again under its id while it was asked whether it had carried
-// an order out. Its new life took over that it was leaving, and no registration takes that back.
+// A draining engine restarted under its id while a daemon polled it for the result of an order. The new
+// incarnation inherited the draining state, which no registration resets.
 #[test]
 fn next_incarnation_reported_by_an_engine_is_not_draining() {
     let mut daemon = Daemon::with_servers(1, &[("e-1", "engine 21 ready 1 born:5")]);
     daemon.deliver_records(ms(10), Topic::Servers, &[("e-1", "engine 21 draining 1 born:5")]);
-    let key = daemon.node.servers.keys().next().expect("it is registered");
+    let key = daemon.node.servers.keys().next().expect("the engine is registered");
     let weights = BTreeMap::from([("m".to_owned(), 1)]);
     let state = State { weights, busy: false, sequence: 0, born: 6 };
     daemon.node.apply(ms(20), Message::Polled(key, Some(state)));
@@ -210,9 +214,9 @@
     assert_eq!(dispatches(&mut daemon, ms(40), "engines").len(), 1);
 }
 
-// A block had been taken away by operators. A daemon that had been frozen woke, told in its digest of the block
-// as it knew it, and all others blocked the request again, for a day from then on, and had the store keep it. The
-// node took a peer's word on blocks as new, however late it came.
+// Operators removed a block. A daemon that had been frozen then sent the block in its digest, and all others
+// blocked the request again for another day and wrote the block to the store. The node accepted blocks from
+// peers as new, however late they came.
 #[test]
 fn removed_block_is_not_restored_by_a_late_message() {
     let fatal = Fingerprint(77);
@@ -232,14 +236,14 @@
     let late = crate::poison::Message::Blocked(vec![block]);
     daemon.node.apply(ms(1_200), Message::Frame(Frame::Poison(late)));
     assert!(!daemon.node.poison.is_blocked(fatal));
-    // The store's own next word counts.
+    // The next record from the store applies.
     daemon.deliver_records(ms(2_000), Topic::Routers, &[("blocked-77", "blocked 77")]);
     assert!(daemon.node.poison.is_blocked(fatal));
 }
 
-// All daemons start again at once. Until each has heard of the others it takes itself for a scheduler: nine of them
-// took nine sixths of the repeats, "81 of 54 repeats are taken", 71 of them 639; and who had not read of the others
-// took a sixteenth of what daemons share that do not schedule.
+// All daemons restart at once. Until a daemon knows the others it takes itself for a scheduler: nine daemons took
+// nine sixths of the retry budget (81 of 54 retries), 71 daemons took 639. A daemon that had not read the others'
+// registrations took a sixteenth of the share of the daemons that don't schedule.
 #[test]
 fn daemons_that_start_together_share_one_retry_budget() {
     let router = |last: u64| record(&format!("router-{last}"), last - 1, &format!("router {last}"));
@@ -255,8 +259,8 @@
     assert!(taken <= POLICY.retry_slack, "{taken}");
 }
 
-// More removals than are kept came past a gap. What was forgotten of them says nothing of the records in the gap,
-// and these were refused as gone when they came.
+// More removals than the catalog keeps arrived after a gap. The trimmed ones say nothing about the records in the
+// gap, but these were rejected as removed when they arrived.
 #[test]
 fn removals_trimmed_after_a_gap_reject_no_record_before_them() {
     let mut catalog = Catalog::default();
--- a/src/fleet/tests/site.rs
+++ b/src/fleet/tests/site.rs
@@ -1,4 +1,4 @@
-//! Several daemons that hear each other.
+//! Several daemons that exchange frames.
 
 use std::net::SocketAddr;
 
@@ -8,28 +8,28 @@
 use crate::prelude::*;
 use crate::route::{Repeat, Workspace};
 
-/// Daemons that hear each other, but for those that are down.
+/// Daemons that exchange frames, except those that are down.
 pub struct Site {
     pub daemons: Vec<Daemon>,
     pub down: BTreeSet<usize>,
-    /// Who is not heard by whom.
+    /// Links (sender, receiver) that lose all frames.
     pub cut_links: BTreeSet<(usize, usize)>,
     pub now: Time,
-    /// When each daemon's clock began.
+    /// Start time of each daemon's clock.
     pub started_at: Vec<Time>,
     incarnations: u64,
-    /// What traffic was told, by daemon.
+    /// Commands to traffic, by daemon.
     pub sent_commands: Vec<Vec<(Key, Command)>>,
-    /// The subject of the prompts that come next.
+    /// Subject of the prompts that arrive next.
     pub subject: u64,
-    /// Where servers have ended, so that nobody listens.
+    /// Addresses of crashed servers, which refuse connections.
     pub crashed_servers: BTreeSet<SocketAddr>,
-    /// Blocks that the store was to keep, or no longer.
+    /// Writes of blocks to the store: true stores the block, false removes it.
     pub block_writes: Vec<(Fingerprint, bool)>,
 }
 
 impl Site {
-    /// Daemons that have heard of each other for some seconds.
+    /// Returns daemons that have exchanged digests for 4 s.
     pub fn new(count: u8, servers: &[(&str, &str)]) -> Self {
         let routers = routers(count);
         let routers = borrowed(&routers);
@@ -57,7 +57,7 @@
         site
     }
 
-    /// Time passes, with a tick every 20 ms.
+    /// Advances the clock by `span`, with a tick every 20 ms.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -80,12 +80,12 @@
         }
     }
 
-    /// The time by a daemon's own clock.
+    /// Returns the time on a daemon's own clock.
     pub fn clock(&self, index: usize) -> Time {
         self.now - self.started_at[index]
     }
 
-    /// A daemon's process ends and another begins in its place, which has read what the store has.
+    /// Replaces a daemon by a new process that has read the store.
     pub fn restart(&mut self, index: usize, servers: &[(&str, &str)]) {
         self.started_at[index] = self.now;
         self.incarnations += 1;
@@ -100,7 +100,7 @@
         self.sent_commands[index].clear();
     }
 
-    /// Notes commands, and returns frames as messages to those that they go to, the last first.
+    /// Records commands and returns the messages that the effects cause, in reverse order.
     pub fn execute_effects(&mut self, index: usize, effects: Vec<Effect>) -> Vec<(usize, Message)> {
         let mut messages = Vec::new();
         for effect in effects {
@@ -133,7 +133,7 @@
         self.arrive_for(index, pool, repeat, None)
     }
 
-    /// A request of a workspace comes.
+    /// A request of a workspace arrives.
     pub fn arrive_for(
         &mut self,
         index: usize,
@@ -150,7 +150,7 @@
         key
     }
 
-    /// What traffic was told at all daemons since the last look.
+    /// Takes the commands of all daemons since the last call.
     pub fn take_commands(&mut self) -> Vec<(usize, Key, Command)> {
         let commands = self.sent_commands.iter_mut().map(std::mem::take).enumerate();
         let commands = commands.flat_map(|(daemon, commands)| {
@@ -163,7 +163,7 @@
         self.apply(index, Message::Report { request, attempt, report });
     }
 
-    /// What traffic was told of a request since the last look.
+    /// Takes the commands of a daemon since the last call and returns those for one request.
     pub fn commands(&mut self, index: usize, key: Key) -> Vec<Command> {
         let commands = std::mem::take(&mut self.sent_commands[index]);
         commands.into_iter().filter(|(of, _)| *of == key).map(|(_, command)| command).collect()
@@ -172,11 +172,11 @@
     pub fn only_dispatch(&mut self, index: usize, key: Key) -> Dispatch {
         match self.commands(index, key).as_slice() {
             [Command::Dispatch(dispatch)] => dispatch.clone(),
-            other => panic!("one dispatch was expected: {other:?}"),
+            other => panic!("expected one dispatch, found {other:?}"),
         }
     }
 
-    /// The daemon that places for `pool`.
+    /// Returns the only daemon that schedules `pool`.
     pub fn scheduler(&self, pool: &str) -> usize {
         let node = |index: &usize| &self.daemons[*index].node;
         let schedules = |index: &usize| {
@@ -185,19 +185,19 @@
                 && node(index).scheduler_of(self.now, pool).is_none()
         };
         let found: Vec<usize> = (0..self.daemons.len()).filter(schedules).collect();
-        assert_eq!(found.len(), 1, "one daemon is to place for {pool}");
+        assert_eq!(found.len(), 1, "exactly one daemon schedules {pool}");
         found[0]
     }
 
-    /// A daemon that does not schedule.
+    /// Returns a running daemon that schedules no pool.
     pub fn non_scheduler(&self) -> usize {
         let is_non_scheduler = |index: &usize| {
             !self.down.contains(index) && !self.daemons[*index].node.is_scheduler(self.now)
         };
-        (0..self.daemons.len()).find(is_non_scheduler).expect("most do not schedule")
+        (0..self.daemons.len()).find(is_non_scheduler).expect("a running daemon schedules no pool")
     }
 
-    /// Requests that a daemon counts at all servers.
+    /// Returns the number of running requests that a daemon counts at all servers.
     pub fn running(&self, index: usize) -> u32 {
         self.daemons[index].node.servers.values().map(|server| server.running).sum()
     }
@@ -207,7 +207,7 @@
     }
 }
 
-/// The registrations of so many daemons.
+/// Returns the registrations of `count` daemons.
 fn routers(count: u8) -> Vec<(String, String)> {
     (1..=count).map(|last| (format!("router-{last}"), format!("router {last}"))).collect()
 }
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -1,4 +1,4 @@
-//! Nodes with a table and servers, and a log that they share.
+//! Nodes under test with their records, routes and prompts.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,6 @@
 use crate::quota;
 use crate::route::{Engine, Kind, KvStore, Limits, Pool, Repeat, Route, Split, Table, Workspace};
 
-/// Milliseconds as a time.
 pub fn ms(milliseconds: u64) -> Time {
     Duration::from_millis(milliseconds)
 }
@@ -32,7 +31,7 @@
     quota: quota::Policy { window: Duration::from_secs(8), overage: 0.1, slack: 110_000.0 },
 };
 
-/// Records in these tests say what they mean in a few words.
+/// Decodes the records of these tests, whose values are a few words such as `engine 21 ready 1`.
 pub fn decode(topic: Topic, record: &Record) -> Result<Change, String> {
     let Some(value) = &record.value else {
         return Ok(match topic {
@@ -51,7 +50,7 @@
     {
         let value = Some(rest.join(" ").into_bytes());
         let Change::Server(mut entry) = decode(topic, &Record { value, ..record.clone() })? else {
-            return Err("only servers are born".into());
+            return Err("only a server record has a start time".into());
         };
         entry.incarnation.started_ms = parse_number(born)?;
         return Ok(Change::Server(entry));
@@ -92,7 +91,7 @@
 }
 
 fn parse_number(text: &str) -> Result<u64, String> {
-    text.parse().map_err(|_| format!("{text} is no number"))
+    text.parse().map_err(|_| format!("{text} is not a number"))
 }
 
 fn plain_server(id: &str, last: &str, state: &str) -> Result<Entry, String> {
@@ -108,7 +107,7 @@
     })
 }
 
-/// A route to `pool`.
+/// Returns a route to `pool`.
 pub fn route(pool: &str, repeat: Repeat, attempts: u32) -> Arc<Route> {
     Arc::new(Route {
         name: format!("to-{pool}"),
@@ -135,7 +134,8 @@
         ("engines".into(), pool(Kind::Engine(engine))),
         ("kept".into(), pool(Kind::KvStore(store))),
     ]);
-    Table::new(version, Vec::new(), pools, Vec::new(), Limits::default()).expect("it is valid")
+    Table::new(version, Vec::new(), pools, Vec::new(), Limits::default())
+        .expect("the table is valid")
 }
 
 /// A node under test.
@@ -143,7 +143,7 @@
     pub node: Node,
     offsets: BTreeMap<Topic, u64>,
     next_request: u64,
-    /// Of the requests that come next.
+    /// Fingerprint of the requests that arrive next.
     pub fingerprint: Fingerprint,
 }
 
@@ -152,7 +152,7 @@
         Self::started(last, u64::from(last), &[])
     }
 
-    /// A daemon that has just started and knows nothing but where some peers may be.
+    /// Returns a daemon that has just started and knows only the seed addresses of peers.
     pub fn started(last: u8, incarnation: u64, seeds: &[SocketAddr]) -> Self {
         let identity = Identity {
             id: format!("router-{last}"),
@@ -165,7 +165,7 @@
         Self { node, offsets: BTreeMap::new(), next_request: 0, fingerprint: Fingerprint(0) }
     }
 
-    /// A daemon that has read a table and these servers.
+    /// Returns a daemon that has read a table, `servers` and its own registration.
     pub fn with_servers(last: u8, servers: &[(&str, &str)]) -> Self {
         let mut daemon = Self::new(last);
         daemon.deliver_records(ms(0), Topic::Operator, &[("config", "table 1")]);
@@ -178,7 +178,7 @@
         daemon
     }
 
-    /// The store gives new records of a topic.
+    /// Delivers the next records of a topic from the store; an empty value removes the key.
     pub fn deliver_records(
         &mut self,
         now: Time,
@@ -198,12 +198,12 @@
         self.node.apply(now, Message::Read(read))
     }
 
-    /// The store ends a read of what operators publish, which has nothing new.
+    /// Completes a read of the operator topic without new records.
     pub fn finish_empty_read(&mut self, now: Time) -> Vec<Effect> {
         self.deliver_records(now, Topic::Operator, &[])
     }
 
-    /// A request comes; its key and what is done.
+    /// A request arrives; returns its key and the node's effects.
     pub fn arrive(
         &mut self,
         now: Time,
@@ -213,7 +213,7 @@
         self.arrive_for(now, route, prompt, None)
     }
 
-    /// A request of a workspace comes.
+    /// A request of a workspace arrives.
     pub fn arrive_for(
         &mut self,
         now: Time,
@@ -244,12 +244,12 @@
     }
 }
 
-/// Records as they are put.
+/// Borrows records in the form that [`Daemon::deliver_records`] takes.
 pub fn borrowed(records: &[(String, String)]) -> Vec<(&str, &str)> {
     records.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect()
 }
 
-/// The commands among `effects`.
+/// Returns the commands among `effects`.
 pub fn commands(effects: &[Effect]) -> Vec<Command> {
     let command = |effect: &Effect| match effect {
         Effect::Command(_, command) => Some(command.clone()),
@@ -258,15 +258,15 @@
     effects.iter().filter_map(command).collect()
 }
 
-/// The only dispatch among `effects`.
+/// Returns the only dispatch among `effects`; panics on any other commands.
 pub fn dispatch(effects: &[Effect]) -> Dispatch {
     match commands(effects).as_slice() {
         [Command::Dispatch(dispatch)] => dispatch.clone(),
-        other => panic!("one dispatch was expected: {other:?}"),
+        other => panic!("expected one dispatch, found {other:?}"),
     }
 }
 
-/// A prompt of two shared parts and one of its own.
+/// Returns a prompt of two shared parts and one unique part.
 pub fn prompt(standard: u64, subject: u64) -> Prompt {
     let part = |id, tokens| Part { id, tokens };
     Prompt {
