--- a/src/fleet/tests/parts.rs
+++ b/src/fleet/tests/parts.rs
@@ -1,7 +1,7 @@
-//! A part of a topic is no topic, and what is handed on is as old as it was.
+//! Partial knowledge of a topic, and records from peers that arrive late.
 //!
-//! Daemons are told of single records by peers before they have read anything themselves. Whatever such a
-//! part says holds; what it does not say is unknown, not absent.
+//! Peers send a daemon single records before it has read a topic itself. These records apply, but keys
+//! without a record are unknown, not absent.
 
 use super::world::*;
 use crate::fleet::*;
@@ -18,62 +18,70 @@
     Batch { topic, from, to, records: records.to_vec() }
 }
 
-/// A peer's word comes.
-fn told(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
+/// Delivers records from a peer.
+fn receive_records(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
     daemon.node.apply(now, Message::Frame(Frame::Records(batch)))
 }
 
-/// Everything that the store has of a topic comes.
-fn read_whole(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
+/// Delivers a snapshot of a topic from the store.
+fn read_snapshot(daemon: &mut Daemon, now: Time, batch: Batch) -> Vec<Effect> {
     daemon.node.apply(now, Message::Read(Read { batch, is_snapshot: true, current_at: now }))
 }
 
 fn dispatches(daemon: &mut Daemon, now: Time, pool: &str) -> Vec<Dispatch> {
-    let wanted = (pool == "engines").then(|| prompt(7, 3));
-    let (request, effects) = daemon.arrive(now, &route(pool, Repeat::AtMostOnce, 1), wanted);
+    let prompt = (pool == "engines").then(|| prompt(7, 3));
+    let (request, effects) = daemon.arrive(now, &route(pool, Repeat::AtMostOnce, 1), prompt);
     daemon.node.apply(now, Message::Cancel(request));
-    let sent = commands(&effects).into_iter().filter_map(|command| match command {
+    let dispatches = commands(&effects).into_iter().filter_map(|command| match command {
         Command::Dispatch(dispatch) => Some(dispatch),
         _ => None,
     });
-    sent.collect()
+    dispatches.collect()
 }
 
-fn registered(daemon: &Daemon) -> Vec<&str> {
+fn registered_ids(daemon: &Daemon) -> Vec<&str> {
     let ids = daemon.node.servers.values().map(|server| server.entry.incarnation.id.as_str());
     ids.collect::<BTreeSet<&str>>().into_iter().collect()
 }
 
-// A daemon that started while servers changed was told of one of them by a peer, took that for the whole
-// topic, and said that it was ready: with one server for all callers of the VM.
+// A starting daemon took one server record from a peer for the whole topic and became ready, with one
+// server for all callers of the VM.
 #[test]
-fn one_server_that_a_peer_tells_of_does_not_make_a_daemon_ready() {
+fn one_server_record_from_a_peer_does_not_make_a_daemon_ready() {
     let mut daemon = Daemon::new(1);
-    read_whole(
+    read_snapshot(
         &mut daemon,
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
-    let news = batch(Topic::Servers, 40, 41, &[record("s-9", 40, "plain 19 ready")]);
-    told(&mut daemon, ms(20), news);
-    assert_eq!(dispatches(&mut daemon, ms(30), "plain").len(), 1, "what it says holds");
+    let records = batch(Topic::Servers, 40, 41, &[record("s-9", 40, "plain 19 ready")]);
+    receive_records(&mut daemon, ms(20), records);
+    assert_eq!(
+        dispatches(&mut daemon, ms(30), "plain").len(),
+        1,
+        "the record from the peer applies"
+    );
     assert!(!daemon.node.is_ready());
 }
 
-// A peer that had only just started itself was asked, since its digest of before was still fresh, and had
-// nothing to answer with: that was taken for a topic without records.
+// A daemon fetched from a peer that had just restarted, as the digest of its former incarnation was still
+// live. The empty answer was taken for a topic without records.
 #[test]
-fn answer_of_a_peer_that_has_read_nothing_does_not_make_a_daemon_ready() {
+fn answer_from_a_peer_without_records_does_not_make_a_daemon_ready() {
     let mut daemon = Daemon::new(1);
-    read_whole(
+    read_snapshot(
         &mut daemon,
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
     let mut peer = Daemon::new(2);
-    told(&mut peer, ms(10), batch(Topic::Routers, 8, 9, &[record("router-1", 8, "router 1")]));
-    let ask = Frame::Fetch("router-1".into(), Topic::Servers, 0);
-    for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
+    receive_records(
+        &mut peer,
+        ms(10),
+        batch(Topic::Routers, 8, 9, &[record("router-1", 8, "router 1")]),
+    );
+    let fetch = Frame::Fetch("router-1".into(), Topic::Servers, 0);
+    for effect in peer.node.apply(ms(20), Message::Frame(fetch)) {
         if let Effect::Send(_, frame) = effect {
             daemon.node.apply(ms(30), Message::Frame(frame));
         }
@@ -81,60 +89,69 @@
     assert!(!daemon.node.is_ready());
 }
 
-// A daemon that started was told of a new configuration, read the servers, and served: which weights had
-// been named it did not know yet, and took that for none.
+// A starting daemon received a configuration from a peer, read the servers and served requests. It did not
+// know the named weights yet and assumed that none were named.
 #[test]
-fn nothing_begins_before_it_is_known_which_weights_were_named() {
+fn no_request_is_sent_before_the_named_weights_are_known() {
     let mut daemon = Daemon::new(1);
-    told(&mut daemon, ms(10), batch(Topic::Operator, 9, 10, &[record("config", 9, "table 2")]));
+    receive_records(
+        &mut daemon,
+        ms(10),
+        batch(Topic::Operator, 9, 10, &[record("config", 9, "table 2")]),
+    );
     let engines = [record("e-1", 0, "engine 21 ready 1")];
-    read_whole(&mut daemon, ms(20), batch(Topic::Servers, 0, 1, &engines));
+    read_snapshot(&mut daemon, ms(20), batch(Topic::Servers, 0, 1, &engines));
     assert!(dispatches(&mut daemon, ms(30), "engines").is_empty());
     assert!(!daemon.node.is_ready());
 }
 
-// A daemon that is told of one other takes the two of them for all, and half of the retry budget of 195.
+// A daemon that knew one peer assumed two daemons in all, and took half of the retry budget of 195 daemons.
 #[test]
-fn one_router_that_a_peer_tells_of_is_not_all_that_share_the_retry_budget() {
+fn one_router_record_from_a_peer_does_not_raise_the_retry_budget_share() {
     let mut daemon = Daemon::new(1);
-    let unknown = daemon.node.daemon_count();
-    told(&mut daemon, ms(20), batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]));
-    assert!(daemon.node.daemon_count() >= unknown, "{} of {unknown}", daemon.node.daemon_count());
+    let initial = daemon.node.daemon_count();
+    receive_records(
+        &mut daemon,
+        ms(20),
+        batch(Topic::Routers, 60, 61, &[record("router-9", 60, "router 9")]),
+    );
+    assert!(daemon.node.daemon_count() >= initial, "{} of {initial}", daemon.node.daemon_count());
 }
 
-// A registration that was the last but one record, and whose removal was the last, is not listed: since the
-// listed ones all lie before it, it was taken for newer than the list, and stayed for good.
+// The last two records were a registration and its removal, so the snapshot doesn't list the key. All listed
+// offsets are lower, so the registration was taken for newer than the snapshot and never removed.
 #[test]
-fn key_whose_removal_was_the_last_record_is_missing_from_a_whole_read() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
-    // The store forgot its history, the removal at 2 with it.
-    let left = [record("s-1", 0, "plain 11 ready")];
-    read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &left));
-    assert_eq!(registered(&daemon), ["s-1"]);
+fn snapshot_removes_a_key_whose_removal_was_the_last_record() {
+    let mut daemon =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    // Compaction dropped the removal at offset 2.
+    let remaining = [record("s-1", 0, "plain 11 ready")];
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 3, &remaining));
+    assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
-// All registrations were gone when the list was read: an empty list removed nothing.
+// All registrations were gone when the snapshot was read, and an empty snapshot removed nothing.
 #[test]
-fn whole_read_that_lists_nothing_removes_everything() {
-    let mut daemon = Daemon::with(1, &[("s-1", "plain 11 ready")]);
-    read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 2, &[]));
+fn empty_snapshot_removes_all_servers() {
+    let mut daemon = Daemon::with_servers(1, &[("s-1", "plain 11 ready")]);
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 2, &[]));
     assert!(dispatches(&mut daemon, ms(20), "plain").is_empty());
 }
 
-// The pages of a list are no snapshot: a server that registered after the first page was read, and of which
-// a peer tells, is not on it, though another that registered later is on the second page.
+// The pages of a snapshot are read at different times. A server that registered after the read of the first
+// page is missing from it, though the second page lists one that registered later. A peer sent its record.
 #[test]
-fn server_that_registers_between_two_pages_is_not_missing() {
+fn snapshot_keeps_a_server_that_registered_between_two_pages() {
     let mut daemon = Daemon::new(1);
-    read_whole(
+    read_snapshot(
         &mut daemon,
         ms(10),
         batch(Topic::Operator, 0, 1, &[record("config", 0, "table 1")]),
     );
     let peer = [record("a", 10, "plain 11 ready")];
-    told(&mut daemon, ms(20), batch(Topic::Servers, 10, 11, &peer));
+    receive_records(&mut daemon, ms(20), batch(Topic::Servers, 10, 11, &peer));
     let pages = [record("k", 3, "plain 12 draining"), record("z", 11, "plain 13 draining")];
-    read_whole(&mut daemon, ms(30), batch(Topic::Servers, 0, 10, &pages));
+    read_snapshot(&mut daemon, ms(30), batch(Topic::Servers, 0, 10, &pages));
     let read = Read {
         batch: batch(Topic::Servers, 10, 12, &[peer[0].clone()]),
         is_snapshot: false,
@@ -145,102 +162,107 @@
     assert!(matches!(&sent[..], [dispatch] if dispatch.server == "a"), "{sent:?}");
 }
 
-// A daemon that was cut off asks a peer for what it missed. The peer has started again meanwhile and has read
-// the list of what is left: it knows of no removals, and yet its answer was taken for all that had happened.
+// A daemon that was cut off fetches the missed records from a peer. The peer has restarted and read a snapshot,
+// so it knows no removals, yet its answer was taken for the complete history.
 #[test]
 fn removal_is_learnt_from_a_peer_that_started_after_it() {
-    let mut cut_off = Daemon::with(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
+    let mut cut_off =
+        Daemon::with_servers(1, &[("s-1", "plain 11 ready"), ("s-2", "plain 12 ready")]);
     let mut peer = Daemon::new(2);
-    let left = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
-    read_whole(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &left));
+    let remaining = [record("s-1", 0, "plain 11 ready"), record("s-3", 3, "plain 13 ready")];
+    read_snapshot(&mut peer, ms(10), batch(Topic::Servers, 0, 4, &remaining));
     let from = cut_off.node.end_offset(Topic::Servers);
     let routers = [("router-1", "router 1")];
-    peer.put(ms(10), Topic::Routers, &routers);
-    let ask = Frame::Fetch("router-1".into(), Topic::Servers, from);
-    for effect in peer.node.apply(ms(20), Message::Frame(ask)) {
+    peer.deliver_records(ms(10), Topic::Routers, &routers);
+    let fetch = Frame::Fetch("router-1".into(), Topic::Servers, from);
+    for effect in peer.node.apply(ms(20), Message::Frame(fetch)) {
         if let Effect::Send(_, frame) = effect {
             cut_off.node.apply(ms(30), Message::Frame(frame));
         }
     }
     let end = cut_off.node.end_offset(Topic::Servers);
-    assert!(end < 4 || registered(&cut_off) == ["s-1", "s-3"], "{:?}", registered(&cut_off));
+    assert!(
+        end < 4 || registered_ids(&cut_off) == ["s-1", "s-3"],
+        "{:?}",
+        registered_ids(&cut_off)
+    );
 }
 
-// A daemon that had just read the list of what is left was told late, by a peer's frame of two seconds before, of a
-// registration that had been removed meanwhile: it knew of no removal, and took it for new.
+// After a daemon read a snapshot, a peer's frame that was two seconds old brought a registration which had been
+// removed since. The daemon knew of no removal and took the registration for new.
 #[test]
-fn late_record_of_a_key_that_was_not_listed_does_not_bring_it_back() {
+fn late_record_does_not_restore_a_key_missing_from_the_snapshot() {
     let mut daemon = Daemon::new(1);
-    let left = [record("s-1", 0, "plain 11 ready")];
-    read_whole(&mut daemon, ms(10), batch(Topic::Servers, 0, 9, &left));
+    let remaining = [record("s-1", 0, "plain 11 ready")];
+    read_snapshot(&mut daemon, ms(10), batch(Topic::Servers, 0, 9, &remaining));
     let late = batch(Topic::Servers, 5, 6, &[record("s-2", 5, "plain 12 ready")]);
-    told(&mut daemon, ms(20), late);
-    assert_eq!(registered(&daemon), ["s-1"]);
+    receive_records(&mut daemon, ms(20), late);
+    assert_eq!(registered_ids(&daemon), ["s-1"]);
 }
 
-// An engine that was leaving ended and started again under its id while it was asked whether it had carried
-// an order out. Its new life took over that it was leaving, and no registration takes that back.
+// A draining engine restarted under its id while a daemon polled it for the result of an order. The new
+// incarnation inherited the draining state, which no registration resets.
 #[test]
-fn next_life_that_an_engine_reports_itself_does_not_leave() {
-    let mut daemon = Daemon::with(1, &[("e-1", "engine 21 ready 1 born:5")]);
-    daemon.put(ms(10), Topic::Servers, &[("e-1", "engine 21 draining 1 born:5")]);
-    let key = daemon.node.servers.keys().next().expect("it is registered");
+fn next_incarnation_reported_by_an_engine_is_not_draining() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", "engine 21 ready 1 born:5")]);
+    daemon.deliver_records(ms(10), Topic::Servers, &[("e-1", "engine 21 draining 1 born:5")]);
+    let key = daemon.node.servers.keys().next().expect("the engine is registered");
     let weights = BTreeMap::from([("m".to_owned(), 1)]);
     let state = State { weights, busy: false, sequence: 0, born: 6 };
     daemon.node.apply(ms(20), Message::Polled(key, Some(state)));
-    daemon.put(ms(30), Topic::Servers, &[("e-1", "engine 21 ready 1 born:6")]);
+    daemon.deliver_records(ms(30), Topic::Servers, &[("e-1", "engine 21 ready 1 born:6")]);
     assert_eq!(dispatches(&mut daemon, ms(40), "engines").len(), 1);
 }
 
-// A block had been taken away by operators. A daemon that had been frozen woke, told in its digest of the block
-// as it knew it, and all others blocked the request again, for a day from then on, and had the store keep it. The
-// node took a peer's word on blocks as new, however late it came.
+// Operators removed a block. A daemon that had been frozen then sent the block in its digest, and all others
+// blocked the request again for another day and wrote the block to the store. The node accepted blocks from
+// peers as new, however late they came.
 #[test]
-fn block_that_was_taken_away_does_not_come_back_by_a_late_word() {
+fn removed_block_is_not_restored_by_a_late_message() {
     let fatal = Fingerprint(77);
     let mut daemon = Daemon::new(1);
-    daemon.put(ms(0), Topic::Routers, &[("blocked-77", "blocked 77")]);
+    daemon.deliver_records(ms(0), Topic::Routers, &[("blocked-77", "blocked 77")]);
     assert!(daemon.node.poison.is_blocked(fatal));
-    daemon.put(ms(1_000), Topic::Routers, &[("blocked-77", "")]);
-    let told = crate::poison::Blocked { fingerprint: fatal, age: Duration::ZERO };
+    daemon.deliver_records(ms(1_000), Topic::Routers, &[("blocked-77", "")]);
+    let block = crate::poison::Blocked { fingerprint: fatal, age: Duration::ZERO };
     let late = Digest {
         daemon: "router-3".into(),
         address: address(3).to_string(),
-        blocked: vec![told],
+        blocked: vec![block],
         ..Digest::default()
     };
     daemon.node.apply(ms(1_100), Message::Frame(Frame::Digest(Box::new(late))));
     assert!(!daemon.node.poison.is_blocked(fatal));
-    let late = crate::poison::Message::Blocked(vec![told]);
+    let late = crate::poison::Message::Blocked(vec![block]);
     daemon.node.apply(ms(1_200), Message::Frame(Frame::Poison(late)));
     assert!(!daemon.node.poison.is_blocked(fatal));
-    // The store's own next word counts.
-    daemon.put(ms(2_000), Topic::Routers, &[("blocked-77", "blocked 77")]);
+    // The next record from the store applies.
+    daemon.deliver_records(ms(2_000), Topic::Routers, &[("blocked-77", "blocked 77")]);
     assert!(daemon.node.poison.is_blocked(fatal));
 }
 
-// All daemons start again at once. Until each has heard of the others it takes itself for a scheduler: nine of them
-// took nine sixths of the repeats, "81 of 54 repeats are taken", 71 of them 639; and who had not read of the others
-// took a sixteenth of what daemons share that do not schedule.
+// All daemons restart at once. Until a daemon knows the others it takes itself for a scheduler: nine daemons took
+// nine sixths of the retry budget (81 of 54 retries), 71 daemons took 639. A daemon that had not read the others'
+// registrations took a sixteenth of the share of the daemons that don't schedule.
 #[test]
-fn daemons_that_start_together_take_no_more_than_the_whole_retry_budget() {
+fn daemons_that_start_together_share_one_retry_budget() {
     let router = |last: u64| record(&format!("router-{last}"), last - 1, &format!("router {last}"));
     let routers: Vec<Record> = (1..=71).map(router).collect();
     let shares = (1..=71).map(|last| {
         let mut daemon = Daemon::new(last);
         daemon.tick(ms(10));
         let before = daemon.node.retry_terms(ms(15)).slack;
-        read_whole(&mut daemon, ms(20), batch(Topic::Routers, 0, 71, &routers));
+        read_snapshot(&mut daemon, ms(20), batch(Topic::Routers, 0, 71, &routers));
         before.max(daemon.node.retry_terms(ms(30)).slack)
     });
     let taken: f64 = shares.sum();
     assert!(taken <= POLICY.retry_slack, "{taken}");
 }
 
-// More removals than are kept came past a gap. What was forgotten of them says nothing of the records in the gap,
-// and these were refused as gone when they came.
+// More removals than the catalog keeps arrived after a gap. The trimmed ones say nothing about the records in the
+// gap, but these were rejected as removed when they arrived.
 #[test]
-fn removals_forgotten_past_a_gap_shut_out_nothing_before_them() {
+fn removals_trimmed_after_a_gap_reject_no_record_before_them() {
     let mut catalog = Catalog::default();
     for offset in 10_000..15_000 {
         catalog.insert(Topic::Servers, &record(&format!("s-{offset}"), offset, ""));
