--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -59,7 +59,7 @@
     /// What it asks for and for whom: the same where its caller asks again.
     pub fingerprint: Fingerprint,
     /// The claim that it needs before it may be dispatched.
-    pub claim: Option<ledger::Ask>,
+    pub claim: Option<ledger::Proposal>,
 }
 
 /// What traffic is told to do for a request.
--- a/src/attempt/mod.rs
+++ b/src/attempt/mod.rs
@@ -4,7 +4,7 @@
 mod state;
 
 pub use message::{Arrival, Command, Dispatch, Import, Outcome, Refusal, Report, Target};
-pub use state::{MAX_ATTEMPTS, Next, Phase, Request, lost, next};
+pub use state::{Action, MAX_ATTEMPTS, Phase, Request, lost_code, next_action};
 
 /// A request that this daemon has taken; never used again by the same daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/src/attempt/state.rs
+++ b/src/attempt/state.rs
@@ -33,13 +33,13 @@
     /// What was asked for.
     pub arrival: Arrival,
     /// When it came.
-    pub since: Time,
+    pub arrived_at: Time,
     /// Where it stands.
     pub phase: Phase,
     /// Attempts made so far.
     pub attempts: u32,
     /// Servers that failed it.
-    pub failed: BTreeSet<membership::Key>,
+    pub failed_servers: BTreeSet<membership::Key>,
     /// Whether any attempt may have run.
     pub maybe_ran: bool,
     /// Whether the caller has been sent a part of the answer.
@@ -53,10 +53,10 @@
     pub fn new(arrival: Arrival, now: Time, phase: Phase) -> Self {
         Self {
             arrival,
-            since: now,
+            arrived_at: now,
             phase,
             attempts: 0,
-            failed: BTreeSet::new(),
+            failed_servers: BTreeSet::new(),
             maybe_ran: false,
             begun: false,
             stream: None,
@@ -66,7 +66,7 @@
 
 /// What follows from an attempt's end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// The request is done.
     Finish,
     /// Try again, elsewhere or on the server that holds the stream.
@@ -77,27 +77,27 @@
 
 /// Decides what follows. A request that may not be repeated is tried again only where the attempt
 /// provably did not run.
-pub fn next(request: &Request, outcome: &Outcome, may_retry: bool) -> Next {
+pub fn next_action(request: &Request, outcome: &Outcome, may_retry: bool) -> Action {
     let (ran, reason) = match outcome {
-        Outcome::Complete(_) | Outcome::CallerGone => return Next::Finish,
-        Outcome::TooLarge => return Next::GiveUp(Code::AnswerTooLarge, String::new()),
+        Outcome::Complete(_) | Outcome::CallerGone => return Action::Finish,
+        Outcome::TooLarge => return Action::GiveUp(Code::AnswerTooLarge, String::new()),
         Outcome::Late if !request.maybe_ran => {
-            return Next::GiveUp(Code::DeadlinePassed, String::new());
+            return Action::GiveUp(Code::DeadlinePassed, String::new());
         }
-        Outcome::Late => return Next::GiveUp(lost(request), "the deadline passed".into()),
+        Outcome::Late => return Action::GiveUp(lost_code(request), "the deadline passed".into()),
         Outcome::Unsent(reason) | Outcome::Declined(reason) => (false, reason),
         Outcome::Broken(reason) | Outcome::Mismatch(reason) => (true, reason),
     };
     let repeatable = !ran || request.arrival.idempotent;
     if repeatable && may_retry && request.attempts < MAX_ATTEMPTS {
-        return Next::Retry;
+        return Action::Retry;
     }
-    let code = if ran || request.maybe_ran { lost(request) } else { Code::RetriesExhausted };
-    Next::GiveUp(code, reason.clone())
+    let code = if ran || request.maybe_ran { lost_code(request) } else { Code::RetriesExhausted };
+    Action::GiveUp(code, reason.clone())
 }
 
 /// The code of a request that may have run and whose answer was lost.
-pub fn lost(request: &Request) -> Code {
+pub fn lost_code(request: &Request) -> Code {
     match request.arrival.target {
         super::Target::Model { .. } => Code::GenerationFailed,
         super::Target::Service { .. } => Code::OutcomeUnknown,
--- a/src/control/arrivals.rs
+++ b/src/control/arrivals.rs
@@ -102,7 +102,7 @@
             self.queues.values_mut().flat_map(|queue| queue.expire(now)).collect();
         for request in expired {
             let ran = self.requests.get(&request).filter(|state| state.maybe_ran);
-            let code = ran.map_or(Code::DeadlinePassed, attempt::lost);
+            let code = ran.map_or(Code::DeadlinePassed, attempt::lost_code);
             self.release_and_refuse(now, request, code.into());
         }
         self.expire_claims(now);
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -54,7 +54,7 @@
         };
         let usable: Vec<(membership::Key, &Server)> = self.usable_servers(now, request).collect();
         let untried: Vec<(membership::Key, &Server)> =
-            usable.iter().copied().filter(|(key, _)| !state.failed.contains(key)).collect();
+            usable.iter().copied().filter(|(key, _)| !state.failed_servers.contains(key)).collect();
         let mut servers = if untried.is_empty() { usable } else { untried };
         self.poison.avoid_other_suspects(
             state.arrival.fingerprint,
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -2,13 +2,13 @@
 
 use super::{Node, Stream};
 use crate::attempt::{self, Command, Phase, Refusal};
-use crate::ledger::{self, Found, Step};
+use crate::ledger::{self, Resolution, Status};
 use crate::prelude::*;
 
 impl Node {
     /// Answers a keyed request from the ledger, or claims its key.
-    pub(super) fn claim(&mut self, now: Time, request: attempt::Key, ask: &ledger::Ask) {
-        if self.ledger.get(&ask.key).is_some() {
+    pub(super) fn claim(&mut self, now: Time, request: attempt::Key, proposal: &ledger::Proposal) {
+        if self.ledger.get(&proposal.key).is_some() {
             return self.answer_from_ledger(now, request);
         }
         let reading = self.readings.get(&Stream::Ledger).copied().unwrap_or_default();
@@ -18,42 +18,43 @@
         if reading.tail_at_start.is_none_or(|tail| self.ledger.next() < tail) {
             return self.refuse(now, request, Code::LedgerBehind);
         }
-        if reading.retention_s < ask.window_s {
+        if reading.retention_s < proposal.window_s {
             let detail = format!(
                 "the log keeps records for {} s, the window is {} s",
-                reading.retention_s, ask.window_s
+                reading.retention_s, proposal.window_s
             );
             return self.refuse(now, request, Error::new(Code::LogUnavailable, detail));
         }
-        let id = self.pending.claim(request, ask);
+        let id = self.pending.claim(request, proposal);
         self.claims.insert(request, id);
     }
 
     /// Answers a keyed request from the ledger's entry for its key.
     fn answer_from_ledger(&mut self, now: Time, request: attempt::Key) {
-        let Some(ask) = self.requests.get(&request).and_then(|r| r.arrival.claim.clone()) else {
+        let Some(proposal) = self.requests.get(&request).and_then(|r| r.arrival.claim.clone())
+        else {
             return;
         };
-        let Some(slot) = self.ledger.get(&ask.key) else {
+        let Some(slot) = self.ledger.get(&proposal.key) else {
             return;
         };
-        if slot.digest != ask.digest {
+        if slot.digest != proposal.digest {
             return self.refuse(now, request, Code::KeyReused);
         }
-        let found = match self.pending.receipt(&ask.key) {
-            Some(receipt) => Found::Done(receipt.clone()),
-            None => slot.found.clone(),
+        let status = match self.pending.receipt(&proposal.key) {
+            Some(receipt) => Status::Done(receipt.clone()),
+            None => slot.status.clone(),
         };
-        match &found {
-            Found::Done(receipt) if receipt.body.is_some() => {
+        match &status {
+            Status::Done(receipt) if receipt.body.is_some() => {
                 let receipt = receipt.clone();
                 self.counts.finished += 1;
                 self.command(request, Command::Replay(receipt));
                 self.forget(now, request);
             }
-            Found::Done(_) => self.refuse(now, request, Code::ReceiptNotKept),
-            Found::Lost => self.refuse(now, request, Code::KeyOutcomeUnknown),
-            Found::Claimed => {
+            Status::Done(_) => self.refuse(now, request, Code::ReceiptNotKept),
+            Status::Lost => self.refuse(now, request, Code::KeyOutcomeUnknown),
+            Status::Claimed => {
                 let claimant = slot.claim.clone();
                 let running = self.is_claimant_running(now, &claimant);
                 let code = if running { Code::KeyInProgress } else { Code::KeyOutcomeUnknown };
@@ -75,13 +76,13 @@
         }
     }
 
-    pub(super) fn apply_ledger_steps(&mut self, now: Time, steps: Vec<Step>) {
-        for step in steps {
-            match step {
-                Step::Won(request) => self.claim_won(now, request),
-                Step::Lost(request) => self.answer_from_ledger(now, request),
-                Step::Unclaimed(request) => self.refuse(now, request, Code::LogUnavailable),
-                Step::Released => self.event(Event::ClaimReleased, Detail::none()),
+    pub(super) fn apply_ledger_steps(&mut self, now: Time, resolutions: Vec<Resolution>) {
+        for resolution in resolutions {
+            match resolution {
+                Resolution::Won(request) => self.claim_won(now, request),
+                Resolution::Lost(request) => self.answer_from_ledger(now, request),
+                Resolution::Unclaimed(request) => self.refuse(now, request, Code::LogUnavailable),
+                Resolution::Released => self.event(Event::ClaimReleased, Detail::none()),
             }
         }
     }
@@ -118,13 +119,13 @@
             return;
         }
         let maybe_ran = state.maybe_ran;
-        let Some(key) = state.arrival.claim.as_ref().map(|ask| ask.key.clone()) else {
+        let Some(key) = state.arrival.claim.as_ref().map(|proposal| proposal.key.clone()) else {
             return;
         };
         let Some(id) = self.claims.remove(&request) else {
             return;
         };
-        self.pending.note(match receipt {
+        self.pending.enqueue(match receipt {
             Some(receipt) => ledger::Entry::Outcome { id, key, receipt },
             None if maybe_ran => ledger::Entry::Lost { id, key },
             None => ledger::Entry::Release { id, key },
@@ -138,7 +139,9 @@
             .requests
             .iter()
             .filter(|(_, state)| state.phase == Phase::Claiming)
-            .filter(|(_, state)| now >= state.arrival.deadline.min(state.since + claim_timeout))
+            .filter(|(_, state)| {
+                now >= state.arrival.deadline.min(state.arrived_at + claim_timeout)
+            })
             .map(|(request, _)| *request)
             .collect();
         for request in expired {
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -50,8 +50,8 @@
         {
             return Some(Placement { server: *server, pending_tokens: 0, import_blocks: 0 });
         }
-        let time_left = state.arrival.deadline.saturating_sub(state.since);
-        let free_only = now >= state.since + time_left / HOLD_DEADLINE_DIVISOR;
+        let time_left = state.arrival.deadline.saturating_sub(state.arrived_at);
+        let free_only = now >= state.arrived_at + time_left / HOLD_DEADLINE_DIVISOR;
         let scored = self.score_candidates(now, request, free_only);
         let best = scored.first().filter(|scored| scored.free)?;
         Some(Placement {
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -1,7 +1,7 @@
 //! Handling of reports on attempts.
 
 use super::Node;
-use crate::attempt::{self, Next, Outcome, Phase, Report, next};
+use crate::attempt::{self, Action, Outcome, Phase, Report, next_action};
 use crate::prelude::*;
 
 /// Time within which a broken stream must continue.
@@ -74,10 +74,10 @@
         if matches!(outcome, Outcome::Broken(_) | Outcome::Mismatch(_) | Outcome::TooLarge) {
             state.maybe_ran = true;
         }
-        match next(state, &outcome, may_retry) {
-            Next::Finish => self.finish(now, request, outcome),
-            Next::Retry => self.retry(now, request),
-            Next::GiveUp(code, detail) => {
+        match next_action(state, &outcome, may_retry) {
+            Action::Finish => self.finish(now, request, outcome),
+            Action::Retry => self.retry(now, request),
+            Action::GiveUp(code, detail) => {
                 self.release_and_refuse(now, request, Error::new(code, detail).into());
             }
         }
@@ -136,7 +136,7 @@
             state.stream = Some((server, incarnation));
         } else {
             state.stream = None;
-            state.failed.insert(server);
+            state.failed_servers.insert(server);
         }
     }
 
--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -171,17 +171,17 @@
     pub(super) fn appended(&mut self, now: Time, number: u64, result: AppendResult) {
         let steps = match result {
             AppendResult::Written => {
-                self.pending.appended(number);
+                self.pending.append_succeeded(number);
                 Vec::new()
             }
-            AppendResult::Refused => self.pending.failed(now, number, false),
-            AppendResult::Unknown => self.pending.failed(now, number, true),
+            AppendResult::Refused => self.pending.append_failed(now, number, false),
+            AppendResult::Unknown => self.pending.append_failed(now, number, true),
         };
         self.apply_ledger_steps(now, steps);
     }
 
     pub(super) fn flush_ledger(&mut self, now: Time) {
-        if let Some((number, text)) = self.pending.flush(now) {
+        if let Some((number, text)) = self.pending.next_append(now) {
             self.effects.push(Effect::Append { number, text });
         }
     }
--- a/src/control/tests/world.rs
+++ b/src/control/tests/world.rs
@@ -309,7 +309,7 @@
         let request = attempt::Key(self.next_request);
         self.next_request += 1;
         self.asked.insert(request, key.unwrap_or_default().to_owned());
-        let claim = key.map(|key| ledger::Ask {
+        let claim = key.map(|key| ledger::Proposal {
             key: ledger::Key { workspace: "w".into(), service: "pay".into(), key: key.into() },
             digest: "digest".into(),
             window_s: 1_000,
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -198,7 +198,7 @@
 ) {
     loop {
         let stream = accept(&listener).await;
-        entry.connect(stream, &connections);
+        entry.serve_connection(stream, &connections);
     }
 }
 
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -24,7 +24,7 @@
 
 impl Entry {
     /// The answer to a request that is given up.
-    pub(super) fn refusal(&self, refusal: &Refusal) -> Response {
+    pub(super) fn refusal_answer(&self, refusal: &Refusal) -> Response {
         let row = refusal.error.code.row();
         let mut answer = server::json(row.status, &error_body(refusal));
         answer.insert_header(header::EXECUTION, refusal.execution.as_str());
@@ -42,7 +42,7 @@
     }
 
     /// Marks an answer as a backend server's own.
-    pub(super) fn mark_done(&self, answer: &mut Response, server: &str) {
+    pub(super) fn insert_server_headers(&self, answer: &mut Response, server: &str) {
         answer.insert_header(header::EXECUTION, Execution::Done.as_str());
         answer.insert_header(header::SERVER, server);
     }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -15,23 +15,23 @@
 
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 const MAX_LEVELS: usize = 16;
-const MAX_KEY: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// What a request's optional headers ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Wishes {
+pub(super) struct Options {
     priority: Option<Priority>,
     deadline: Option<Duration>,
     levels: Vec<usize>,
 }
 
-impl Wishes {
+impl Options {
     /// Reads the optional headers; a value that is not allowed is an error.
     pub(super) fn read(headers: &Headers) -> Result<Self> {
         let priority = header::single(headers, header::PRIORITY)?
             .map(|name| {
                 Priority::from_name(name)
-                    .ok_or_else(|| invalid(header::PRIORITY, "urgent, normal or background"))
+                    .ok_or_else(|| invalid_header(header::PRIORITY, "urgent, normal or background"))
             })
             .transpose()?;
         let deadline = header::single(headers, header::DEADLINE_MS)?
@@ -41,13 +41,16 @@
                     .ok()
                     .filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms))
                     .map(Duration::from_millis)
-                    .ok_or_else(|| invalid(header::DEADLINE_MS, "1 to 86400000"))
+                    .ok_or_else(|| invalid_header(header::DEADLINE_MS, "1 to 86400000"))
             })
             .transpose()?;
         let levels = match header::single(headers, header::PREFIX_LEVELS)? {
             None => Vec::new(),
             Some(value) => parse_levels(value).ok_or_else(|| {
-                invalid(header::PREFIX_LEVELS, "up to 16 ascending byte offsets joined by commas")
+                invalid_header(
+                    header::PREFIX_LEVELS,
+                    "up to 16 ascending byte offsets joined by commas",
+                )
             })?,
         };
         Ok(Self { priority, deadline, levels })
@@ -61,7 +64,7 @@
     (levels.len() <= MAX_LEVELS && ascending).then_some(levels)
 }
 
-fn invalid(name: &str, allowed: &str) -> Error {
+fn invalid_header(name: &str, allowed: &str) -> Error {
     Error::new(Code::HeaderInvalid, format!("{name}: give {allowed}"))
 }
 
@@ -69,8 +72,8 @@
     force.manifest.workspaces.get(name).ok_or_else(|| Code::WrongKey.into())
 }
 
-fn priority(wishes: &Wishes, workspace: &Workspace) -> Priority {
-    wishes.priority.unwrap_or(workspace.default_priority).max(workspace.highest_priority)
+fn priority(options: &Options, workspace: &Workspace) -> Priority {
+    options.priority.unwrap_or(workspace.default_priority).max(workspace.highest_priority)
 }
 
 /// The model of this name, if the workspace is granted it.
@@ -89,15 +92,15 @@
 
 impl Entry {
     /// The arrival of a completion.
-    pub(super) fn completion(
+    pub(super) fn completion_arrival(
         &self,
         force: &Force,
         workspace_name: &str,
         headers: &Headers,
-        since: Time,
+        arrived_at: Time,
         completion: &Completion,
     ) -> Result<Arrival> {
-        let wishes = Wishes::read(headers)?;
+        let options = Options::read(headers)?;
         let model = granted_model(force, workspace_name, &completion.model)?;
         let workspace = workspace(force, workspace_name)?;
         let salt = prefix::root(Scope {
@@ -107,7 +110,7 @@
             adapter: model.adapter.as_deref().unwrap_or_default(),
         });
         let prompt = completion.prompt.as_bytes();
-        let deadline = wishes.deadline.unwrap_or(Duration::from_millis(model.default_deadline_ms));
+        let deadline = options.deadline.unwrap_or(Duration::from_millis(model.default_deadline_ms));
         Ok(Arrival {
             request: self.control.next_request(),
             workspace: workspace_name.to_owned(),
@@ -119,9 +122,9 @@
                 salt,
             },
             pool: model.pool.clone(),
-            priority: priority(&wishes, workspace),
-            deadline: since + deadline,
-            prefix: Prefix::new(salt, prompt, &wishes.levels),
+            priority: priority(&options, workspace),
+            deadline: arrived_at + deadline,
+            prefix: Prefix::new(salt, prompt, &options.levels),
             tokens: (prompt.len() / BYTES_PER_TOKEN) as u32,
             max_tokens: completion.max_tokens,
             idempotent: true,
@@ -136,9 +139,9 @@
     }
 
     /// The arrival of a call of `service`, whose path within the service is `path`.
-    pub(super) fn service_call(&self, call: &Call, name: &str, path: &str) -> Result<Arrival> {
+    pub(super) fn service_arrival(&self, call: &Call, name: &str, path: &str) -> Result<Arrival> {
         let headers: &Headers = call.whole.request.as_ref();
-        let wishes = Wishes::read(headers)?;
+        let options = Options::read(headers)?;
         let named = || format!("service {name:?}");
         let service = call.force.manifest.services.get(name);
         let service = service.ok_or_else(|| Error::new(Code::UnknownService, named()))?;
@@ -150,21 +153,26 @@
         let idempotent = service.idempotent_methods.contains(&method);
         let key = idempotency_key(headers)?;
         let keyed = key.is_some();
-        let claim = key.filter(|_| !idempotent && !service.deduplicates).map(|key| ledger::Ask {
-            key: ledger::Key { workspace: call.workspace.clone(), service: name.to_owned(), key },
-            digest: request_digest(&method, path, &call.whole.body),
-            window_s: call.force.manifest.idempotency_window_s,
-        });
+        let claim =
+            key.filter(|_| !idempotent && !service.deduplicates).map(|key| ledger::Proposal {
+                key: ledger::Key {
+                    workspace: call.workspace.clone(),
+                    service: name.to_owned(),
+                    key,
+                },
+                digest: request_digest(&method, path, &call.whole.body),
+                window_s: call.force.manifest.idempotency_window_s,
+            });
         let deadline =
-            wishes.deadline.unwrap_or(Duration::from_millis(service.default_deadline_ms));
+            options.deadline.unwrap_or(Duration::from_millis(service.default_deadline_ms));
         Ok(Arrival {
             request: self.control.next_request(),
             workspace: call.workspace.clone(),
             share: workspace.share,
             target: Target::Service { service: name.to_owned() },
             pool: service.pool.clone(),
-            priority: priority(&wishes, workspace),
-            deadline: call.since + deadline,
+            priority: priority(&options, workspace),
+            deadline: call.arrived_at + deadline,
             prefix: Prefix::default(),
             tokens: 0,
             max_tokens: 1,
@@ -188,8 +196,8 @@
     let value = value.trim();
     let key = value.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')).unwrap_or(value);
     let printable = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'"');
-    if key.is_empty() || key.len() > MAX_KEY || !printable {
-        return Err(invalid(header::IDEMPOTENCY_KEY, "1 to 255 visible ASCII characters"));
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !printable {
+        return Err(invalid_header(header::IDEMPOTENCY_KEY, "1 to 255 visible ASCII characters"));
     }
     Ok(Some(key.to_owned()))
 }
@@ -205,10 +213,10 @@
     format!("{:016x}-{:x}", xxh3_64(daemon.as_bytes()) ^ incarnation, request.0)
 }
 
-/// An operator's question where a completion would go.
+/// An operator's query where a completion would go.
 #[derive(Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Question {
+struct Query {
     workspace: String,
     model: String,
     prompt: String,
@@ -219,22 +227,22 @@
 }
 
 impl Entry {
-    /// The arrival that an operator's question is about; nothing is run for it.
-    pub fn question(&self, body: &[u8]) -> Result<Arrival> {
-        let question: Question = serde_json::from_slice(body)
+    /// The arrival that an operator's query is about; nothing is run for it.
+    pub fn parse_query(&self, body: &[u8]) -> Result<Arrival> {
+        let query: Query = serde_json::from_slice(body)
             .map_err(|error| Error::new(Code::MalformedRequest, error.to_string()))?;
         let force = self.control.force().ok_or(Code::NoManifest)?;
-        let body = serde_json::json!({ "model": question.model, "prompt": question.prompt });
+        let body = serde_json::json!({ "model": query.model, "prompt": query.prompt });
         let completion = Completion::parse(super::openai::Kind::Text, body.to_string().as_bytes())?;
         let mut request = http_types::Request::new(http_types::Method::Get, "http://localhost/");
-        if let Some(priority) = question.priority {
+        if let Some(priority) = query.priority {
             request.insert_header(header::PRIORITY, priority.as_str());
         }
-        if !question.levels.is_empty() {
-            let levels: Vec<String> = question.levels.iter().map(usize::to_string).collect();
+        if !query.levels.is_empty() {
+            let levels: Vec<String> = query.levels.iter().map(usize::to_string).collect();
             request.insert_header(header::PREFIX_LEVELS, levels.join(","));
         }
         let now = self.control.clock.now();
-        self.completion(&force, &question.workspace, request.as_ref(), now, &completion)
+        self.completion_arrival(&force, &query.workspace, request.as_ref(), now, &completion)
     }
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -37,7 +37,7 @@
 pub struct Entry {
     id: String,
     limits: Limits,
-    exchange: client::Limits,
+    client_limits: client::Limits,
     control: Control,
     metrics: Arc<Metrics>,
     executor: Arc<Executor<'static>>,
@@ -50,7 +50,7 @@
     force: Arc<Force>,
     workspace: String,
     hop: Hop,
-    since: Time,
+    arrived_at: Time,
 }
 
 impl From<client::Failure> for Outcome {
@@ -73,7 +73,7 @@
         Self {
             id: settings.id.clone(),
             limits: settings.limits,
-            exchange: settings.limits.exchange(),
+            client_limits: settings.limits.exchange(),
             control,
             metrics,
             executor: Arc::clone(executor),
@@ -82,7 +82,11 @@
     }
 
     /// Serves a new connection, or refuses it where there are too many.
-    pub fn connect(self: &Arc<Self>, stream: Async<TcpStream>, connections: &Arc<Connections>) {
+    pub fn serve_connection(
+        self: &Arc<Self>,
+        stream: Async<TcpStream>,
+        connections: &Arc<Connections>,
+    ) {
         let socket = Socket::new(stream, Duration::from_millis(self.limits.idle_ms));
         let entry = Arc::clone(self);
         let Some(guard) = connections.add(socket.clone()) else {
@@ -112,7 +116,7 @@
                 close = whole.close;
                 self.route(whole).await
             }
-            Err(error) => self.refusal(&error.into()),
+            Err(error) => self.refusal_answer(&error.into()),
         };
         if close || self.control.is_draining() {
             answer.insert_header("connection", "close");
@@ -122,26 +126,30 @@
     }
 
     async fn route(self: &Arc<Self>, whole: Whole) -> Response {
-        let since = self.control.clock.now();
+        let arrived_at = self.control.clock.now();
         let head = &whole.request;
         let traceparent = header::single(head.as_ref(), header::TRACEPARENT).ok().flatten();
         let hop = Hop::first("entry", traceparent);
         let path = head.url().path().to_owned();
         let (workspace, force) = match self.authenticate(head) {
             Ok(found) => found,
-            Err(error) => return self.refusal(&error.into()),
+            Err(error) => return self.refusal_answer(&error.into()),
         };
         hop.note("workspace", workspace.clone());
-        let call = Call { whole, force, workspace, hop, since };
+        let call = Call { whole, force, workspace, hop, arrived_at };
         match (call.whole.request.method(), path.as_str()) {
-            (Method::Post, "/v1/chat/completions" | "/v1/completions") => self.model(call).await,
-            (Method::Get, "/v1/models") => models(&call),
-            (_, path) if path.starts_with("/services/") => self.service(call).await,
+            (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
+                self.serve_completion(call).await
+            }
+            (Method::Get, "/v1/models") => list_models(&call),
+            (_, path) if path.starts_with("/services/") => self.serve_service(call).await,
             (_, "/v1/chat/completions" | "/v1/completions") => {
-                self.refusal(&Error::new(Code::MethodNotAllowed, "POST").into())
+                self.refusal_answer(&Error::new(Code::MethodNotAllowed, "POST").into())
+            }
+            (_, "/v1/models") => {
+                self.refusal_answer(&Error::new(Code::MethodNotAllowed, "GET").into())
             }
-            (_, "/v1/models") => self.refusal(&Error::new(Code::MethodNotAllowed, "GET").into()),
-            (_, path) => self.refusal(&Error::new(Code::UnknownPath, path).into()),
+            (_, path) => self.refusal_answer(&Error::new(Code::UnknownPath, path).into()),
         }
     }
 
@@ -188,7 +196,7 @@
     linger.or(end).await.ok();
 }
 
-fn models(call: &Call) -> Response {
+fn list_models(call: &Call) -> Response {
     let workspace = call.force.manifest.workspaces.get(&call.workspace);
     let models: Vec<serde_json::Value> = workspace
         .into_iter()
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -9,8 +9,8 @@
 
 use super::answer::error_body;
 use super::arrival::request_id;
-use super::openai::{Completion, Kind, chunk_text, whole};
-use super::pump::{END, Piece, Pump};
+use super::openai::{Completion, Kind, chunk_text, merged_answer};
+use super::pump::{END_OF_STREAM, Piece, Pump};
 use super::{Call, Entry};
 use crate::attempt::{Arrival, Refusal, Target};
 use crate::http::server;
@@ -18,28 +18,28 @@
 use crate::prelude::*;
 
 /// Chunks that may wait for a slow caller.
-const MAX_PIECES: usize = 16;
+const MAX_QUEUED_PIECES: usize = 16;
 
 impl Entry {
-    pub(super) async fn model(self: &Arc<Self>, call: Call) -> Response {
+    pub(super) async fn serve_completion(self: &Arc<Self>, call: Call) -> Response {
         let workspace = call.workspace.clone();
         let (completion, arrival) = match self.read_completion(&call) {
             Ok(read) => read,
-            Err(error) => return self.refused(&workspace, "", error.into()),
+            Err(error) => return self.refuse(&workspace, "", error.into()),
         };
         let name = completion.model.clone();
-        let (id, pieces) = self.start(call, arrival, completion.clone());
+        let (id, pieces) = self.start_completion(call, arrival, completion.clone());
         let server = match pieces.recv().await {
             Ok(Piece::Begin(server)) => server,
-            Ok(Piece::Failed(refusal)) => return self.refused(&workspace, &name, refusal),
+            Ok(Piece::Failed(refusal)) => return self.refuse(&workspace, &name, refusal),
             // A complete answer without a single chunk is still an answer.
-            Ok(Piece::End) => return self.gathered(&completion, &id, "", None, ""),
-            _ => return self.refused(&workspace, &name, Code::GenerationFailed.into()),
+            Ok(Piece::End) => return self.build_answer(&completion, &id, "", None, ""),
+            _ => return self.refuse(&workspace, &name, Code::GenerationFailed.into()),
         };
         if completion.stream {
-            return self.streamed(&workspace, &name, &server, pieces).await;
+            return self.stream_answer(&workspace, &name, &server, pieces).await;
         }
-        self.gather(&workspace, &completion, &id, &server, pieces).await
+        self.collect_answer(&workspace, &completion, &id, &server, pieces).await
     }
 
     fn read_completion(&self, call: &Call) -> Result<(Completion, Arrival)> {
@@ -47,19 +47,24 @@
         let kind = Kind::from_path(request.url().path()).unwrap_or(Kind::Text);
         let completion = Completion::parse(kind, &call.whole.body)?;
         let headers = request.as_ref();
-        let arrival =
-            self.completion(&call.force, &call.workspace, headers, call.since, &completion)?;
+        let arrival = self.completion_arrival(
+            &call.force,
+            &call.workspace,
+            headers,
+            call.arrived_at,
+            &completion,
+        )?;
         Ok((completion, arrival))
     }
 
     /// Hands a completion over to control and to a pump; its id, and the pieces of its answer.
-    fn start(
+    fn start_completion(
         self: &Arc<Self>,
         call: Call,
         arrival: Arrival,
         completion: Completion,
     ) -> (String, Receiver<Piece>) {
-        let (sender, pieces) = async_channel::bounded(MAX_PIECES);
+        let (sender, pieces) = async_channel::bounded(MAX_QUEUED_PIECES);
         let id = request_id(&self.id, self.incarnation, arrival.request);
         let (weights, salt) = match &arrival.target {
             Target::Model { weights, salt, .. } => (weights.clone(), *salt),
@@ -75,7 +80,7 @@
             priority: arrival.priority.as_str(),
             pieces: sender,
             hop: call.hop,
-            since: call.since,
+            arrived_at: call.arrived_at,
             position: 0,
             text: String::new(),
         };
@@ -84,13 +89,13 @@
         (id, pieces)
     }
 
-    pub(super) fn refused(&self, workspace: &str, target: &str, refusal: Refusal) -> Response {
+    pub(super) fn refuse(&self, workspace: &str, target: &str, refusal: Refusal) -> Response {
         self.metrics.answered(workspace, target, refusal.error.code.row().number);
-        self.refusal(&refusal)
+        self.refusal_answer(&refusal)
     }
 
     /// A server-sent event stream of the pieces; it ends with `[DONE]` or with an error event.
-    async fn streamed(
+    async fn stream_answer(
         &self,
         workspace: &str,
         name: &str,
@@ -98,8 +103,8 @@
         pieces: Receiver<Piece>,
     ) -> Response {
         let first = pieces.recv().await;
-        if let Ok(Piece::Other(status, body)) = first {
-            return self.other(workspace, name, server, status, body);
+        if let Ok(Piece::Rejection(status, body)) = first {
+            return self.rejection_answer(workspace, name, server, status, body);
         }
         let events = stream::once(first).chain(stream::unfold(pieces, |pieces| async {
             let piece = pieces.recv().await;
@@ -109,7 +114,7 @@
             if *ended {
                 return None;
             }
-            let (text, last) = sse(piece.ok());
+            let (text, last) = encode_event(piece.ok());
             *ended = last;
             Some(Ok::<_, std::io::Error>(text.into_bytes()))
         });
@@ -118,12 +123,12 @@
         answer.set_body(Body::from_reader(reader, None));
         answer.insert_header("content-type", "text/event-stream");
         answer.insert_header("cache-control", "no-cache");
-        self.mark_done(&mut answer, server);
+        self.insert_server_headers(&mut answer, server);
         self.metrics.answered(workspace, name, 0);
         answer
     }
 
-    async fn gather(
+    async fn collect_answer(
         &self,
         workspace: &str,
         completion: &Completion,
@@ -142,24 +147,30 @@
                 }
                 Ok(Piece::End) => {
                     self.metrics.answered(workspace, &completion.model, 0);
-                    return self.gathered(completion, id, &text, last.as_ref(), server);
+                    return self.build_answer(completion, id, &text, last.as_ref(), server);
                 }
                 Ok(Piece::Failed(refusal)) => {
-                    return self.refused(workspace, &completion.model, refusal);
+                    return self.refuse(workspace, &completion.model, refusal);
                 }
-                Ok(Piece::Other(status, body)) => {
-                    return self.other(workspace, &completion.model, server, status, body);
+                Ok(Piece::Rejection(status, body)) => {
+                    return self.rejection_answer(
+                        workspace,
+                        &completion.model,
+                        server,
+                        status,
+                        body,
+                    );
                 }
                 Ok(Piece::Begin(_)) => {}
                 Err(_) => {
                     let refusal = Code::GenerationFailed.into();
-                    return self.refused(workspace, &completion.model, refusal);
+                    return self.refuse(workspace, &completion.model, refusal);
                 }
             }
         }
     }
 
-    fn gathered(
+    fn build_answer(
         &self,
         completion: &Completion,
         id: &str,
@@ -167,13 +178,13 @@
         last: Option<&Value>,
         server: &str,
     ) -> Response {
-        let body = whole(completion.kind, id, &completion.model, text, last);
+        let body = merged_answer(completion.kind, id, &completion.model, text, last);
         let mut answer = server::json(200, &body);
-        self.mark_done(&mut answer, server);
+        self.insert_server_headers(&mut answer, server);
         answer
     }
 
-    fn other(
+    fn rejection_answer(
         &self,
         workspace: &str,
         name: &str,
@@ -184,7 +195,7 @@
         let mut answer = server::empty(status);
         answer.set_body(body);
         answer.insert_header("content-type", "application/json");
-        self.mark_done(&mut answer, server);
+        self.insert_server_headers(&mut answer, server);
         answer.insert_header(crate::http::header::EXECUTION, Execution::NotRun.as_str());
         self.metrics.answered(workspace, name, 0);
         answer
@@ -192,14 +203,14 @@
 }
 
 /// One piece as an event, and whether it is the last.
-fn sse(piece: Option<Piece>) -> (String, bool) {
+fn encode_event(piece: Option<Piece>) -> (String, bool) {
     match piece {
         Some(Piece::Chunk(data)) => (format!("data: {data}\n\n"), false),
-        Some(Piece::End) => (format!("data: {END}\n\n"), true),
+        Some(Piece::End) => (format!("data: {END_OF_STREAM}\n\n"), true),
         Some(Piece::Failed(refusal)) => {
             (format!("event: error\ndata: {}\n\n", error_body(&refusal)), true)
         }
-        Some(Piece::Begin(_) | Piece::Other(..)) => (String::from(": \n\n"), false),
+        Some(Piece::Begin(_) | Piece::Rejection(..)) => (String::from(": \n\n"), false),
         None => {
             let refusal = Refusal::from(Code::GenerationFailed);
             (format!("event: error\ndata: {}\n\n", error_body(&refusal)), true)
--- a/src/entry/openai.rs
+++ b/src/entry/openai.rs
@@ -144,7 +144,7 @@
 }
 
 /// A whole answer, made of all chunks of a stream.
-pub fn whole(kind: Kind, id: &str, model: &str, text: &str, last: Option<&Value>) -> Value {
+pub fn merged_answer(kind: Kind, id: &str, model: &str, text: &str, last: Option<&Value>) -> Value {
     let reason = last.map_or(&Value::Null, |chunk| &chunk["choices"][0]["finish_reason"]);
     let usage = last.map_or(&Value::Null, |chunk| &chunk["usage"]);
     let choice = match kind {
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -17,9 +17,9 @@
 use crate::telemetry::trace::Hop;
 
 /// The data of a stream's last event.
-pub(super) const END: &str = "[DONE]";
+pub(super) const END_OF_STREAM: &str = "[DONE]";
 /// Bytes of one engine's stream that are read at most.
-const MAX_STREAM: u64 = 1 << 30;
+const MAX_STREAM_BYTES: u64 = 1 << 30;
 
 /// What a pump hands to the caller's answer, in order.
 #[derive(Debug)]
@@ -33,13 +33,13 @@
     /// The request is given up.
     Failed(Refusal),
     /// The engine's own answer to a request that it does not take.
-    Other(u16, Vec<u8>),
+    Rejection(u16, Vec<u8>),
 }
 
 /// One event of an engine's stream.
 enum Chunk {
     /// It was passed on before.
-    Repeated,
+    Duplicate,
     /// The chunk that is due: its text, and the same as JSON.
     Next(String, Value),
     /// The stream is complete.
@@ -57,7 +57,7 @@
     pub(super) priority: &'static str,
     pub(super) pieces: Sender<Piece>,
     pub(super) hop: Hop,
-    pub(super) since: Time,
+    pub(super) arrived_at: Time,
     /// Position of the next chunk.
     pub(super) position: u64,
     /// The text passed on so far.
@@ -74,7 +74,8 @@
                 Command::Dispatch(dispatch) => {
                     self.hop.placed(&dispatch);
                     let number = dispatch.attempt;
-                    let outcome = self.attempt(&dispatch).or(aborted(&commands, number)).await;
+                    let outcome =
+                        self.run_attempt(&dispatch).or(wait_for_abort(&commands, number)).await;
                     let complete = matches!(outcome, Outcome::Complete(_));
                     let gone = outcome == Outcome::CallerGone;
                     self.report(&dispatch, Report::Ended(outcome));
@@ -102,7 +103,7 @@
         self.entry.control.tell(Message::Report { request, attempt, report });
     }
 
-    async fn attempt(&mut self, dispatch: &Dispatch) -> Outcome {
+    async fn run_attempt(&mut self, dispatch: &Dispatch) -> Outcome {
         if self.entry.control.clock.now() >= dispatch.deadline {
             return Outcome::Late;
         }
@@ -110,17 +111,17 @@
         hop.note("server", dispatch.id.clone());
         hop.note("attempt", i64::from(dispatch.attempt));
         let attempt_id = format!("{}.{}", self.id, dispatch.attempt);
-        let request = match self.request_to(dispatch, &attempt_id, &hop) {
+        let request = match self.build_request(dispatch, &attempt_id, &hop) {
             Ok(request) => request,
             Err(error) => return Outcome::Unsent(error.message()),
         };
-        match client::send(dispatch.address, request, self.entry.exchange).await {
+        match client::send(dispatch.address, request, self.entry.client_limits).await {
             Ok(answer) => self.receive(dispatch, &attempt_id, answer, &hop).await,
             Err(failure) => failure.into(),
         }
     }
 
-    fn request_to(
+    fn build_request(
         &self,
         dispatch: &Dispatch,
         attempt_id: &str,
@@ -168,7 +169,7 @@
         let declined = header::single(headers, header::EXECUTION)
             .is_ok_and(|value| value == Some(Execution::NotRun.as_str()));
         if declined && status != StatusCode::Ok {
-            return self.declined(dispatch, status, answer).await;
+            return self.handle_declined(dispatch, status, answer).await;
         }
         if status != StatusCode::Ok {
             return Outcome::Broken(format!("the engine answered {status}"));
@@ -188,44 +189,44 @@
             .flatten()
             .and_then(|value| value.parse().ok());
         let stream = hop.child("stream");
-        let outcome = self.stream(dispatch, answer, cached).await;
+        let outcome = self.relay_stream(dispatch, answer, cached).await;
         stream.note("position", self.position as i64);
         outcome
     }
 
     /// An engine that did not run the request: one that it will never take is answered as the
     /// engine answered it, all else is tried elsewhere.
-    async fn declined(
+    async fn handle_declined(
         &mut self,
         dispatch: &Dispatch,
         status: StatusCode,
         answer: client::Answer,
     ) -> Outcome {
-        let never = matches!(
+        let is_permanent = matches!(
             status,
             StatusCode::BadRequest | StatusCode::PayloadTooLarge | StatusCode::UnprocessableEntity
         );
-        if !never || self.position > 0 {
+        if !is_permanent || self.position > 0 {
             return Outcome::Declined(format!("the engine answered {status}"));
         }
         match answer.whole().await {
             Ok((head, body)) => {
                 let status = u16::from(head.status());
                 let passed = self.pieces.send(Piece::Begin(dispatch.id.clone())).await.is_ok()
-                    && self.pieces.send(Piece::Other(status, body)).await.is_ok();
+                    && self.pieces.send(Piece::Rejection(status, body)).await.is_ok();
                 if passed { Outcome::Complete(None) } else { Outcome::CallerGone }
             }
             Err(failure) => Outcome::Declined(failure.reason),
         }
     }
 
-    async fn stream(
+    async fn relay_stream(
         &mut self,
         dispatch: &Dispatch,
         mut answer: client::Answer,
         cached_tokens: Option<u32>,
     ) -> Outcome {
-        let body = answer.response.take_body().take(MAX_STREAM);
+        let body = answer.response.take_body().take(MAX_STREAM_BYTES);
         let mut events = async_sse::decode(futures_lite::io::BufReader::new(body));
         let mut begun = false;
         while let Some(event) = events.next().await {
@@ -235,14 +236,14 @@
                 Err(error) => return Outcome::Broken(error.to_string()),
             };
             let (data, chunk) = match self.read_chunk(&message) {
-                Ok(Chunk::Repeated) => continue,
+                Ok(Chunk::Duplicate) => continue,
                 Ok(Chunk::End) => return Outcome::Complete(None),
                 Ok(Chunk::Next(data, chunk)) => (data, chunk),
                 Err(reason) => return Outcome::Broken(reason),
             };
             if !begun {
                 begun = true;
-                self.begin(dispatch, cached_tokens).await;
+                self.report_begun(dispatch, cached_tokens).await;
             }
             self.text.push_str(chunk_text(self.completion.kind, &chunk));
             self.position += 1;
@@ -262,33 +263,33 @@
         }
         let position = message.id().as_ref().and_then(|id| id.parse::<u64>().ok());
         match position {
-            Some(position) if position < self.position => return Ok(Chunk::Repeated),
+            Some(position) if position < self.position => return Ok(Chunk::Duplicate),
             Some(position) if position == self.position => {}
             _ => {
                 let seen = message.id();
                 return Err(format!("chunk {seen:?} came where {} was due", self.position));
             }
         }
-        if data == END {
+        if data == END_OF_STREAM {
             return Ok(Chunk::End);
         }
         let chunk = serde_json::from_str(data).map_err(|_| "a chunk is no JSON")?;
         Ok(Chunk::Next(data.to_owned(), chunk))
     }
 
-    async fn begin(&self, dispatch: &Dispatch, cached_tokens: Option<u32>) {
+    async fn report_begun(&self, dispatch: &Dispatch, cached_tokens: Option<u32>) {
         self.report(dispatch, Report::Begun { cached_tokens });
         if self.position > 0 {
             return;
         }
-        let time = self.entry.control.clock.now().saturating_sub(self.since);
+        let time = self.entry.control.clock.now().saturating_sub(self.arrived_at);
         self.entry.metrics.first_token(&self.completion.model, self.priority, time);
         self.pieces.send(Piece::Begin(dispatch.id.clone())).await.ok();
     }
 }
 
 /// Ends when control ends the attempt of this number.
-async fn aborted(commands: &Receiver<Command>, number: u32) -> Outcome {
+async fn wait_for_abort(commands: &Receiver<Command>, number: u32) -> Outcome {
     while let Ok(command) = commands.recv().await {
         if command == Command::Abort(number) {
             return Outcome::Broken("the server does not answer or has restarted".into());
--- a/src/entry/service.rs
+++ b/src/entry/service.rs
@@ -10,12 +10,12 @@
 use crate::control::Message;
 use crate::http::client;
 use crate::http::{header, server};
-use crate::ledger::{MAX_KEPT_BODY, Receipt};
+use crate::ledger::{MAX_RECEIPT_BODY_BYTES, Receipt};
 use crate::prelude::*;
 use crate::telemetry::trace::Hop;
 
 /// Headers of a request that are passed on.
-const PASSED_ON: [&str; 6] = [
+const FORWARDED_HEADERS: [&str; 6] = [
     "content-type",
     "accept",
     "accept-language",
@@ -24,7 +24,7 @@
     "if-none-match",
 ];
 /// Headers of an answer that are passed back.
-const PASSED_BACK: [&str; 8] = [
+const RETURNED_HEADERS: [&str; 8] = [
     "content-type",
     "content-disposition",
     "content-language",
@@ -36,15 +36,15 @@
 ];
 
 impl Entry {
-    pub(super) async fn service(self: &Arc<Self>, call: Call) -> Response {
+    pub(super) async fn serve_service(self: &Arc<Self>, call: Call) -> Response {
         let url = call.whole.request.url();
         let rest = url.path().strip_prefix("/services/").unwrap_or_default();
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
         let query = url.query().map(|query| format!("?{query}")).unwrap_or_default();
         let path = format!("/{path}{query}");
-        let arrival = match self.service_call(&call, name, &path) {
+        let arrival = match self.service_arrival(&call, name, &path) {
             Ok(arrival) => arrival,
-            Err(error) => return self.refused(&call.workspace, "", error.into()),
+            Err(error) => return self.refuse(&call.workspace, "", error.into()),
         };
         let keyed = arrival.claim.is_some();
         let name = match &arrival.target {
@@ -58,7 +58,7 @@
             drop(waiting);
             let dispatch = match command {
                 Command::Dispatch(dispatch) => dispatch,
-                Command::Refuse(refusal) => return self.refused(&call.workspace, &name, refusal),
+                Command::Refuse(refusal) => return self.refuse(&call.workspace, &name, refusal),
                 Command::Replay(receipt) => return self.replay(&receipt),
                 // A call is waited for: an end from outside would tell less than the server.
                 Command::Abort(_) => {
@@ -69,7 +69,7 @@
             call.hop.placed(&dispatch);
             let hop = call.hop.child("dispatch");
             hop.note("server", dispatch.id.clone());
-            let (outcome, answer) = self.exchange(&call, &path, request, &dispatch, &hop).await;
+            let (outcome, answer) = self.send_call(&call, &path, request, &dispatch, &hop).await;
             let attempt = dispatch.attempt;
             let report = Report::Ended(outcome);
             self.control.tell(Message::Report { request, attempt, report });
@@ -79,10 +79,10 @@
             }
             waiting = call.hop.child("admission");
         }
-        self.refused(&call.workspace, &name, Code::OutcomeUnknown.into())
+        self.refuse(&call.workspace, &name, Code::OutcomeUnknown.into())
     }
 
-    pub(super) async fn exchange(
+    pub(super) async fn send_call(
         &self,
         call: &Call,
         path: &str,
@@ -95,18 +95,18 @@
         }
         let id = request_id(&self.id, self.incarnation, request);
         let attempt_id = format!("{id}.{}", dispatch.attempt);
-        let sent = match self.request_to(call, path, dispatch, &attempt_id, hop) {
+        let sent = match self.build_request(call, path, dispatch, &attempt_id, hop) {
             Ok(sent) => sent,
             Err(error) => return (Outcome::Unsent(error.message()), None),
         };
-        let answer = match client::send(dispatch.address, sent, self.exchange).await {
+        let answer = match client::send(dispatch.address, sent, self.client_limits).await {
             Ok(answer) => answer.whole().await,
             Err(failure) => Err(failure),
         };
         match answer {
             Ok((head, body)) => {
-                let kept = receipt(&head, &body);
-                let answer = self.passed_back(head, body, &dispatch.id);
+                let kept = build_receipt(&head, &body);
+                let answer = self.returned_answer(head, body, &dispatch.id);
                 (Outcome::Complete(Some(kept)), Some(answer))
             }
             Err(failure) if failure.too_large => (Outcome::TooLarge, None),
@@ -114,7 +114,7 @@
         }
     }
 
-    fn request_to(
+    fn build_request(
         &self,
         call: &Call,
         path: &str,
@@ -124,7 +124,7 @@
     ) -> Result<http_types::Request> {
         let head = &call.whole.request;
         let mut sent = client::request(head.method(), dispatch.address, path)?;
-        for name in PASSED_ON {
+        for name in FORWARDED_HEADERS {
             if let Some(value) = header::single(head.as_ref(), name)? {
                 sent.insert_header(name, value);
             }
@@ -144,16 +144,16 @@
         Ok(sent)
     }
 
-    fn passed_back(&self, head: Response, body: Vec<u8>, id: &str) -> Response {
+    fn returned_answer(&self, head: Response, body: Vec<u8>, id: &str) -> Response {
         let mut answer = server::empty(head.status().into());
         answer.set_body(body);
         answer.remove_header("content-type");
-        for name in PASSED_BACK {
+        for name in RETURNED_HEADERS {
             if let Some(values) = head.header(name) {
                 answer.insert_header(name, values);
             }
         }
-        self.mark_done(&mut answer, id);
+        self.insert_server_headers(&mut answer, id);
         answer
     }
 
@@ -173,11 +173,11 @@
     }
 }
 
-fn receipt(head: &Response, body: &[u8]) -> Receipt {
+fn build_receipt(head: &Response, body: &[u8]) -> Receipt {
     let content_type = head.header("content-type").map(|values| values.as_str().to_owned());
     Receipt {
         status: head.status().into(),
         content_type: content_type.unwrap_or_default(),
-        body: (body.len() <= MAX_KEPT_BODY).then(|| STANDARD.encode(body)),
+        body: (body.len() <= MAX_RECEIPT_BODY_BYTES).then(|| STANDARD.encode(body)),
     }
 }
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -7,7 +7,7 @@
 use quickcheck::quickcheck;
 use serde_json::json;
 
-use super::openai::{Completion, Kind, chunk_text, prompt, whole};
+use super::openai::{Completion, Kind, chunk_text, merged_answer, prompt};
 use super::{Call, Entry};
 use crate::attempt::{self, Dispatch, Outcome};
 use crate::daemon::Control;
@@ -50,12 +50,12 @@
 }
 
 #[test]
-fn whole_joins_chunks() {
+fn merged_answer_keeps_last_chunk() {
     let chunk =
         json!({ "choices": [{ "text": "t", "finish_reason": "stop" }], "usage": { "x": 1 } });
     assert_eq!(chunk_text(Kind::Text, &chunk), "t");
     assert_eq!(chunk_text(Kind::Chat, &chunk), "");
-    let answer = whole(Kind::Text, "id", "m", "text", Some(&chunk));
+    let answer = merged_answer(Kind::Text, "id", "m", "text", Some(&chunk));
     assert_eq!(answer["choices"][0]["finish_reason"], "stop");
     assert_eq!(answer["usage"]["x"], 1);
 }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn exchange_late_sends_nothing() {
+fn send_call_late_sends_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
     listener.set_nonblocking(true).expect("it does not wait");
@@ -88,7 +88,7 @@
         force: Arc::new(Force::new(1, String::new(), manifest)),
         workspace: "w".into(),
         hop: Hop::first("entry", None),
-        since: Time::ZERO,
+        arrived_at: Time::ZERO,
     };
     let dispatch = Dispatch {
         attempt: 1,
@@ -100,9 +100,9 @@
         import: None,
         deadline: Time::ZERO,
     };
-    let exchange = entry();
+    let entry = entry();
     let (outcome, answer) =
-        block_on(exchange.exchange(&call, "/x", attempt::Key(0), &dispatch, &call.hop));
+        block_on(entry.send_call(&call, "/x", attempt::Key(0), &dispatch, &call.hop));
     assert_eq!(outcome, Outcome::Late);
     assert!(answer.is_none());
     assert!(listener.accept().is_err(), "no connection was made");
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -10,14 +10,14 @@
 #[cfg(test)]
 mod tests;
 
-pub use pending::{Pending, Step};
+pub use pending::{Pending, Resolution};
 pub use record::{Batch, Entry};
-pub use state::{Found, Slot, State};
+pub use state::{Slot, State, Status};
 
 use serde::{Deserialize, Serialize};
 
 /// Bytes of an answer's body that are kept for the caller who asks again.
-pub const MAX_KEPT_BODY: usize = 16 * 1024;
+pub const MAX_RECEIPT_BODY_BYTES: usize = 16 * 1024;
 
 /// Names one keyed request over the whole fleet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
 /// What a keyed request asks of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct Proposal {
     /// Its name.
     pub key: Key,
     /// SHA-256 of method, path and body, in hexadecimal.
@@ -59,6 +59,6 @@
     pub status: u16,
     /// Content type; empty where the answer had none.
     pub content_type: String,
-    /// The body in base64; `None` where it was larger than [`MAX_KEPT_BODY`].
+    /// The body in base64; `None` where it was larger than [`MAX_RECEIPT_BODY_BYTES`].
     pub body: Option<String>,
 }
--- a/src/ledger/pending.rs
+++ b/src/ledger/pending.rs
@@ -1,20 +1,20 @@
 //! This daemon's own claims on their way through the log.
 
-use super::{Ask, Batch, ClaimId, Entry, Found, Key, Receipt, State};
+use super::{Batch, ClaimId, Entry, Key, Proposal, Receipt, State, Status};
 use crate::attempt;
 use crate::prelude::*;
 
 /// Entries that one append carries at most.
-const MAX_BATCH: usize = 256;
+const MAX_BATCH_ENTRIES: usize = 256;
 /// Abandoned claims that are looked out for at most; the oldest are forgotten first. Should one of
 /// those still land, its key answers *unknown* for its window.
-pub(super) const MAX_ABANDONED: usize = 10_000;
+pub(super) const MAX_ABANDONED_CLAIMS: usize = 10_000;
 /// Time after which entries whose append failed are tried again.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What follows for a claiming request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum Resolution {
     /// Its claim is the first: dispatch it.
     Won(attempt::Key),
     /// Another claim was first: answer from what is known of the key.
@@ -76,25 +76,25 @@
     }
 
     /// Makes a claim for `request`.
-    pub fn claim(&mut self, request: attempt::Key, ask: &Ask) -> ClaimId {
+    pub fn claim(&mut self, request: attempt::Key, proposal: &Proposal) -> ClaimId {
         self.sequence += 1;
         let id = ClaimId {
             daemon: self.daemon.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
         };
-        self.claims.insert(id.clone(), Claim { request, key: ask.key.clone() });
+        self.claims.insert(id.clone(), Claim { request, key: proposal.key.clone() });
         self.buffer.push(Entry::Claim {
             id: id.clone(),
-            key: ask.key.clone(),
-            digest: ask.digest.clone(),
-            window_s: ask.window_s,
+            key: proposal.key.clone(),
+            digest: proposal.digest.clone(),
+            window_s: proposal.window_s,
         });
         id
     }
 
     /// Notes an outcome, a loss or a release to be appended.
-    pub fn note(&mut self, entry: Entry) {
+    pub fn enqueue(&mut self, entry: Entry) {
         if let Entry::Outcome { key, receipt, .. } = &entry {
             self.receipts.insert(key.clone(), receipt.clone());
         }
@@ -108,11 +108,11 @@
 
     /// The next append, if one is due: its number and the record. One is under way at a time, and
     /// what comes meanwhile goes together in the next.
-    pub fn flush(&mut self, now: Time) -> Option<(u64, String)> {
+    pub fn next_append(&mut self, now: Time) -> Option<(u64, String)> {
         if self.in_flight.is_some() || self.buffer.is_empty() || now < self.retry_at {
             return None;
         }
-        let rest = self.buffer.split_off(self.buffer.len().min(MAX_BATCH));
+        let rest = self.buffer.split_off(self.buffer.len().min(MAX_BATCH_ENTRIES));
         let entries = std::mem::replace(&mut self.buffer, rest);
         self.appends += 1;
         let text = Batch::new(entries.clone()).encode();
@@ -121,7 +121,7 @@
     }
 
     /// The append of this number landed; what it carried is decided when it is folded.
-    pub fn appended(&mut self, number: u64) {
+    pub fn append_succeeded(&mut self, number: u64) {
         if self.in_flight.as_ref().is_some_and(|(current, _)| *current == number) {
             self.in_flight = None;
         }
@@ -131,7 +131,7 @@
     ///
     /// Entries that settle a claim are appended again: folding them twice changes nothing. Claims
     /// are not: a second record could land after the request was given up.
-    pub fn failed(&mut self, now: Time, number: u64, landed: bool) -> Vec<Step> {
+    pub fn append_failed(&mut self, now: Time, number: u64, landed: bool) -> Vec<Resolution> {
         let Some((current, entries)) = self.in_flight.take() else {
             return Vec::new();
         };
@@ -139,15 +139,15 @@
             self.in_flight = Some((current, entries));
             return Vec::new();
         }
-        self.retry_at = now + RETRY_AFTER;
-        let mut steps = Vec::new();
+        self.retry_at = now + RETRY_DELAY;
+        let mut resolutions = Vec::new();
         let mut again = Vec::new();
         for entry in entries {
             match &entry {
                 Entry::Claim { .. } if landed => {}
                 Entry::Claim { id, .. } => {
                     if let Some(claim) = self.claims.remove(id) {
-                        steps.push(Step::Unclaimed(claim.request));
+                        resolutions.push(Resolution::Unclaimed(claim.request));
                     }
                 }
                 _ => again.push(entry),
@@ -155,7 +155,7 @@
         }
         again.append(&mut self.buffer);
         self.buffer = again;
-        steps
+        resolutions
     }
 
     /// Gives up on the claim of `request`, which was not dispatched and will not be.
@@ -172,15 +172,15 @@
             .retain(|entry| !matches!(entry, Entry::Claim { id: other, .. } if *other == id));
         if self.buffer.len() == buffered {
             self.abandoned.insert(id, claim.key);
-            if self.abandoned.len() > MAX_ABANDONED {
+            if self.abandoned.len() > MAX_ABANDONED_CLAIMS {
                 self.abandoned.pop_first();
             }
         }
     }
 
     /// Looks at the fold for what became of own claims.
-    pub fn resolve(&mut self, state: &State) -> Vec<Step> {
-        let mut steps = Vec::new();
+    pub fn resolve(&mut self, state: &State) -> Vec<Resolution> {
+        let mut resolutions = Vec::new();
         let ids: Vec<ClaimId> = self.claims.keys().cloned().collect();
         for id in ids {
             let Some(claim) = self.claims.get(&id) else {
@@ -191,10 +191,14 @@
             };
             let request = claim.request;
             self.claims.remove(&id);
-            steps.push(if slot.claim == id { Step::Won(request) } else { Step::Lost(request) });
+            resolutions.push(if slot.claim == id {
+                Resolution::Won(request)
+            } else {
+                Resolution::Lost(request)
+            });
         }
         self.receipts
-            .retain(|key, _| state.get(key).is_some_and(|slot| slot.found == Found::Claimed));
+            .retain(|key, _| state.get(key).is_some_and(|slot| slot.status == Status::Claimed));
         let landed: Vec<ClaimId> = self
             .abandoned
             .iter()
@@ -204,9 +208,9 @@
         for id in landed {
             if let Some(key) = self.abandoned.remove(&id) {
                 self.buffer.push(Entry::Release { id, key });
-                steps.push(Step::Released);
+                resolutions.push(Resolution::Released);
             }
         }
-        steps
+        resolutions
     }
 }
--- a/src/ledger/state.rs
+++ b/src/ledger/state.rs
@@ -15,13 +15,14 @@
     /// Log time in milliseconds after which the key is forgotten.
     pub expires_ms: u64,
     /// What came of it.
-    pub found: Found,
+    #[serde(rename = "found")]
+    pub status: Status,
 }
 
 /// What came of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Found {
+pub enum Status {
     /// Nothing yet.
     Claimed,
     /// It may have run; its answer was lost.
@@ -115,26 +116,26 @@
                 }
                 let expires_ms = self.time_ms.saturating_add(window_s.saturating_mul(1_000));
                 self.expiry.insert((expires_ms, key.clone()));
-                let slot = Slot { claim: id, digest, expires_ms, found: Found::Claimed };
+                let slot = Slot { claim: id, digest, expires_ms, status: Status::Claimed };
                 self.slots.insert(key, slot);
             }
             Entry::Outcome { id, key, receipt } => {
                 if let Some(slot) = self.owned(&key, &id) {
-                    slot.found = Found::Done(receipt);
+                    slot.status = Status::Done(receipt);
                 }
             }
             Entry::Lost { id, key } => {
                 if let Some(slot) = self.owned(&key, &id)
-                    && slot.found == Found::Claimed
+                    && slot.status == Status::Claimed
                 {
-                    slot.found = Found::Lost;
+                    slot.status = Status::Lost;
                 }
             }
             Entry::Release { id, key } => {
                 let Some(slot) = self.owned(&key, &id) else {
                     return;
                 };
-                if slot.found != Found::Claimed {
+                if slot.status != Status::Claimed {
                     return;
                 }
                 let expires_ms = slot.expires_ms;
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -31,14 +31,14 @@
     let mut pending = Pending::new("router-0".into(), 1);
     for number in 0..20_000 {
         let request = crate::attempt::Key(number);
-        pending.claim(request, &Ask { key: key(0), digest: "d".into(), window_s: 10 });
+        pending.claim(request, &Proposal { key: key(0), digest: "d".into(), window_s: 10 });
         // It is on its way, so that it can't be taken back.
         let now = std::time::Duration::from_secs(number);
-        let (append, _) = pending.flush(now).expect("one is due");
-        pending.failed(now, append, true);
+        let (append, _) = pending.next_append(now).expect("one is due");
+        pending.append_failed(now, append, true);
         pending.abandon(request);
     }
-    assert_eq!(pending.abandoned.len(), super::pending::MAX_ABANDONED);
+    assert_eq!(pending.abandoned.len(), super::pending::MAX_ABANDONED_CLAIMS);
 }
 
 quickcheck! {
@@ -59,7 +59,7 @@
         entries.iter().enumerate().all(|(offset, (kind, which, claim))| {
             state.fold(offset as u64, 0, &Batch::new(vec![entry(*kind, *which, *claim)]).encode());
             let kept = done.iter().all(|(key, slot)| state.get(key) == Some(slot));
-            for (key, slot) in state.iter().filter(|(_, s)| matches!(s.found, Found::Done(_))) {
+            for (key, slot) in state.iter().filter(|(_, s)| matches!(s.status, Status::Done(_))) {
                 done.insert(key.clone(), slot.clone());
             }
             kept
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -75,7 +75,7 @@
     }
 
     async fn explain(&self, body: &[u8]) -> Response {
-        let arrival = match self.entry.question(body) {
+        let arrival = match self.entry.parse_query(body) {
             Ok(arrival) => arrival,
             Err(error) => return refused(&error),
         };
