--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -108,7 +108,7 @@
         priority: Priority::Normal,
         deadline: Duration::from_secs(1_000),
         prefix: Prefix::new(Key(number % 16), &prompt, &bounds),
-        tokens: 18_432,
+        prompt_tokens: 18_432,
         max_tokens: 64,
         idempotent: true,
         fingerprint: Fingerprint(number),
--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -51,7 +51,7 @@
     /// The prompt's prefix; empty for services.
     pub prefix: Prefix,
     /// Estimated prompt tokens.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Most answer tokens.
     pub max_tokens: u32,
     /// Whether it may be repeated safely.
--- a/src/attempt/state.rs
+++ b/src/attempt/state.rs
@@ -45,7 +45,7 @@
     /// Whether the caller has been sent a part of the answer.
     pub begun: bool,
     /// The server and incarnation that hold its broken stream.
-    pub stream: Option<(membership::Key, Option<String>)>,
+    pub stream_holder: Option<(membership::Key, Option<String>)>,
 }
 
 impl Request {
@@ -59,7 +59,7 @@
             failed_servers: BTreeSet::new(),
             maybe_ran: false,
             begun: false,
-            stream: None,
+            stream_holder: None,
         }
     }
 }
--- a/src/control/arrivals.rs
+++ b/src/control/arrivals.rs
@@ -37,7 +37,7 @@
             priority: arrival.priority,
             workspace: arrival.workspace.clone(),
             share: arrival.share,
-            cost: arrival.tokens.saturating_add(arrival.max_tokens).max(1),
+            cost: arrival.prompt_tokens.saturating_add(arrival.max_tokens).max(1),
             deadline: arrival.deadline,
             is_retry: state.attempts > 0,
         };
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -72,7 +72,7 @@
         };
         let ask = Ask {
             prefix: &state.arrival.prefix,
-            tokens: state.arrival.tokens,
+            tokens: state.arrival.prompt_tokens,
             objective,
             copies: self.max_copies(now, state.arrival.prefix.level(0), candidates.len()),
             held: self.max_reachable_depth(&depth),
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -45,7 +45,7 @@
     /// full one is worth waiting for.
     fn place(&self, now: Time, request: attempt::Key) -> Option<Placement> {
         let state = self.requests.get(&request)?;
-        if let Some((server, _)) = &state.stream
+        if let Some((server, _)) = &state.stream_holder
             && self.can_resume_stream(now, state)
         {
             return Some(Placement { server: *server, pending_tokens: 0, import_blocks: 0 });
@@ -63,7 +63,7 @@
 
     /// Whether the server that holds the request's broken stream can resume it.
     fn can_resume_stream(&self, now: Time, state: &Request) -> bool {
-        let Some((key, incarnation)) = &state.stream else {
+        let Some((key, incarnation)) = &state.stream_holder else {
             return false;
         };
         self.membership.get(*key).is_some_and(|server| {
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -39,7 +39,7 @@
         };
         let (server, pending_tokens, was_begun) =
             (*server, *pending_tokens, std::mem::replace(begun, true));
-        let tokens = state.arrival.tokens;
+        let tokens = state.arrival.prompt_tokens;
         let blocks = state.arrival.prefix.blocks.clone();
         if !was_begun {
             self.record_prompt_computed(server, pending_tokens);
@@ -130,12 +130,12 @@
         };
         if let Outcome::Broken(_) = outcome
             && state.begun
-            && state.stream.is_none()
+            && state.stream_holder.is_none()
         {
             let incarnation = self.membership.get(server).and_then(|s| s.incarnation.clone());
-            state.stream = Some((server, incarnation));
+            state.stream_holder = Some((server, incarnation));
         } else {
-            state.stream = None;
+            state.stream_holder = None;
             state.failed_servers.insert(server);
         }
     }
@@ -162,7 +162,7 @@
         };
         self.release_slot(now, &state);
         self.counts.retried += 1;
-        let resumed = state.stream.is_some();
+        let resumed = state.stream_holder.is_some();
         let Some(current) = self.requests.get_mut(&request) else {
             return;
         };
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -71,7 +71,7 @@
             priority: Priority::Normal,
             deadline: self.world.now + Duration::from_secs(1),
             prefix: Prefix::new(salt, prompt.as_bytes(), &[]),
-            tokens: 2_048,
+            prompt_tokens: 2_048,
             max_tokens: 1,
             idempotent: true,
             fingerprint: Fingerprint(request.0),
--- a/src/control/tests/world.rs
+++ b/src/control/tests/world.rs
@@ -323,7 +323,7 @@
             priority: Priority::Normal,
             deadline: self.now + Duration::from_secs(1),
             prefix: Prefix::default(),
-            tokens: 0,
+            prompt_tokens: 0,
             max_tokens: 1,
             idempotent: false,
             fingerprint: Fingerprint(request.0),
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -125,7 +125,7 @@
             priority: priority(&options, workspace),
             deadline: arrived_at + deadline,
             prefix: Prefix::new(salt, prompt, &options.levels),
-            tokens: (prompt.len() / BYTES_PER_TOKEN) as u32,
+            prompt_tokens: (prompt.len() / BYTES_PER_TOKEN) as u32,
             max_tokens: completion.max_tokens,
             idempotent: true,
             fingerprint: Fingerprint::of(
@@ -174,7 +174,7 @@
             priority: priority(&options, workspace),
             deadline: call.arrived_at + deadline,
             prefix: Prefix::default(),
-            tokens: 0,
+            prompt_tokens: 0,
             max_tokens: 1,
             fingerprint: Fingerprint::of(
                 &call.workspace,
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -7,7 +7,7 @@
 
 #[derive(Debug, Default)]
 struct Table {
-    next: u64,
+    next_number: u64,
     open: BTreeMap<u64, Socket>,
 }
 
@@ -44,8 +44,8 @@
         if table.open.len() >= self.limit {
             return None;
         }
-        let number = table.next;
-        table.next += 1;
+        let number = table.next_number;
+        table.next_number += 1;
         table.open.insert(number, socket);
         Some(Guard { connections: Arc::clone(self), number })
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -93,7 +93,7 @@
             return self.executor.spawn(refuse_connection(socket)).detach();
         };
         let serving = async move {
-            let endpoint = |request, socket| entry.clone().answer(request, socket);
+            let endpoint = |request, socket| entry.clone().handle_request(request, socket);
             if let Err(error) = server::serve(socket, endpoint).await {
                 crate::telemetry::emit(
                     Event::ConnectionFailed,
@@ -105,7 +105,7 @@
         self.executor.spawn(serving).detach();
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         request: Request,
         socket: Socket,
--- a/src/ledger/state.rs
+++ b/src/ledger/state.rs
@@ -120,19 +120,19 @@
                 self.slots.insert(key, slot);
             }
             Entry::Outcome { id, key, receipt } => {
-                if let Some(slot) = self.owned(&key, &id) {
+                if let Some(slot) = self.slot_of_claim(&key, &id) {
                     slot.status = Status::Done(receipt);
                 }
             }
             Entry::Lost { id, key } => {
-                if let Some(slot) = self.owned(&key, &id)
+                if let Some(slot) = self.slot_of_claim(&key, &id)
                     && slot.status == Status::Claimed
                 {
                     slot.status = Status::Lost;
                 }
             }
             Entry::Release { id, key } => {
-                let Some(slot) = self.owned(&key, &id) else {
+                let Some(slot) = self.slot_of_claim(&key, &id) else {
                     return;
                 };
                 if slot.status != Status::Claimed {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn owned(&mut self, key: &Key, id: &ClaimId) -> Option<&mut Slot> {
+    fn slot_of_claim(&mut self, key: &Key, id: &ClaimId) -> Option<&mut Slot> {
         self.slots.get_mut(key).filter(|slot| slot.claim == *id)
     }
 }
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -53,7 +53,7 @@
     }
 
     /// A key that is done stays done with the same receipt until its window ends.
-    fn fold_never_takes_back(entries: Vec<(u8, u8, u8)>) -> bool {
+    fn fold_done_stays_done(entries: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let mut done: std::collections::BTreeMap<Key, Slot> = std::collections::BTreeMap::new();
         entries.iter().enumerate().all(|(offset, (kind, which, claim))| {
@@ -67,7 +67,7 @@
     }
 
     /// A state rebuilt from its slots folds on as the one that it was taken from.
-    fn rebuild_folds_on(before: Vec<(u8, u8, u8)>, after: Vec<(u8, u8, u8)>) -> bool {
+    fn rebuild_folds_like_original(before: Vec<(u8, u8, u8)>, after: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let record = |entries: &[(u8, u8, u8)]| {
             Batch::new(entries.iter().map(|(k, w, c)| entry(*k, *w, *c)).collect()).encode()
--- a/standin/src/replay/world/callers.rs
+++ b/standin/src/replay/world/callers.rs
@@ -57,7 +57,7 @@
             priority: request.priority,
             deadline: self.now + CALLER + Duration::from_millis(request.deadline_ms),
             prefix: self.prefixes[index].clone(),
-            tokens: request.tokens(),
+            prompt_tokens: request.tokens(),
             max_tokens: request.answer_tokens,
             idempotent: true,
             fingerprint: cardamomvalve::poison::Fingerprint(index as u64),
