--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -51,7 +51,7 @@
     /// The prompt's prefix; empty for services.
     pub prefix: Prefix,
     /// Estimated prompt tokens.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Most answer tokens.
     pub max_tokens: u32,
     /// Whether it may be repeated safely.
@@ -59,7 +59,7 @@
     /// What it asks for and for whom: the same where its caller asks again.
     pub fingerprint: Fingerprint,
     /// The claim that it needs before it may be dispatched.
-    pub claim: Option<ledger::Ask>,
+    pub claim: Option<ledger::Proposal>,
 }
 
 /// What traffic is told to do for a request.
