--- a/src/control/tests/blocks.rs
+++ b/src/control/tests/blocks.rs
@@ -1,37 +1,37 @@
 //! Blocked requests: for how long, whoever tells of them.
 
-use super::world::{Action, Faults, World, manifest_value, publish_record};
+use super::simulation::{Faults, PendingAction, Simulation, manifest_value, publish_record};
 use crate::control::{self, Effect, Identity, Message, Node, Policy, Read, Stream};
 use crate::peer::Frame;
 use crate::poison::{self, Blocked, Fingerprint, Record};
 use crate::prelude::*;
 
 const HOUR: Duration = Duration::from_secs(3_600);
-const FATAL: Fingerprint = Fingerprint(7);
+const CRASHING: Fingerprint = Fingerprint(7);
 
 /// Lets daemons look and tell each other, all but what reads the log.
-fn rounds(world: &mut World, count: usize) {
+fn run_rounds(simulation: &mut Simulation, count: usize) {
     for _ in 0..count {
-        for index in 0..world.nodes.len() {
-            world.tell(index, Message::Tick);
+        for index in 0..simulation.nodes.len() {
+            simulation.deliver(index, Message::Tick);
         }
-        for action in std::mem::take(&mut world.actions) {
-            if let Action::Deliver(index, _, message) = action
+        for action in std::mem::take(&mut simulation.pending) {
+            if let PendingAction::Deliver(index, _, message) = action
                 && matches!(*message, Message::Frame(_))
             {
-                world.tell(index, *message);
+                simulation.deliver(index, *message);
             }
         }
-        world.now += Duration::from_millis(250);
+        simulation.now += Duration::from_millis(250);
     }
 }
 
 /// Requests that each daemon has blocked.
-fn blocked(world: &World) -> Vec<usize> {
-    world.nodes.iter().map(|node| node.status(world.now).requests_blocked).collect()
+fn count_blocked(simulation: &Simulation) -> Vec<usize> {
+    simulation.nodes.iter().map(|node| node.status(simulation.now).requests_blocked).collect()
 }
 
-fn blocks(blocked: &[Fingerprint], lifted: &[Fingerprint]) -> String {
+fn encode_blocks(blocked: &[Fingerprint], lifted: &[Fingerprint]) -> String {
     let age = Duration::ZERO;
     let blocked: Vec<Blocked> =
         blocked.iter().map(|fingerprint| Blocked { fingerprint: *fingerprint, age }).collect();
@@ -46,24 +46,25 @@
 /// 24 h and over a minute: left: [1, 1] right: [0, 0]
 /// ```
 #[test]
-fn block_that_peers_tell_each_other_lapses_after_a_day() {
-    let mut world = World::new(1, 2, Faults::default());
-    world.quiet();
-    world.log_down = true;
+fn block_repeated_by_peers_expires_after_a_day() {
+    let mut simulation = Simulation::new(1, 2, Faults::default());
+    simulation.settle();
+    simulation.log_down = true;
     for index in 0..2 {
-        world.tell(index, Message::LogDown(Stream::Blocked));
+        simulation.deliver(index, Message::LogDown(Stream::Blocked));
     }
-    let block = poison::Message::Blocked(vec![Blocked { fingerprint: FATAL, age: Duration::ZERO }]);
-    world.tell(0, Message::Frame(Frame::Poison(block)));
-    rounds(&mut world, 5);
-    world.log.get_mut(&Stream::Blocked).expect("it is there").clear();
-    assert_eq!(blocked(&world), [1, 1]);
-    world.now += HOUR * 24 - Duration::from_secs(30);
+    let block =
+        poison::Message::Blocked(vec![Blocked { fingerprint: CRASHING, age: Duration::ZERO }]);
+    simulation.deliver(0, Message::Frame(Frame::Poison(block)));
+    run_rounds(&mut simulation, 5);
+    simulation.log.get_mut(&Stream::Blocked).expect("it is there").clear();
+    assert_eq!(count_blocked(&simulation), [1, 1]);
+    simulation.now += HOUR * 24 - Duration::from_secs(30);
     // Daemons do not look at the same moment.
-    world.tell(0, Message::Tick);
-    world.now += Duration::from_secs(5);
-    rounds(&mut world, 400);
-    assert_eq!(blocked(&world), [0, 0], "24 h and over a minute");
+    simulation.deliver(0, Message::Tick);
+    simulation.now += Duration::from_secs(5);
+    run_rounds(&mut simulation, 400);
+    assert_eq!(count_blocked(&simulation), [0, 0], "24 h and over a minute");
 }
 
 /// A daemon counted the day of a block from when it read the record, whenever the log had taken that: after a restart
@@ -73,31 +74,31 @@
 /// the log took it 25 h ago: left: [1] right: [0]
 /// ```
 #[test]
-fn block_of_a_daemon_that_started_again_lapses_a_day_after_the_log_took_it() {
-    let mut world = World::new(1, 1, Faults::default());
-    world.land(Stream::Blocked, blocks(&[FATAL], &[]));
-    world.quiet();
-    assert_eq!(blocked(&world), [1]);
-    world.now += HOUR * 23;
-    world.kill(0);
-    assert_eq!(blocked(&world), [1]);
-    world.now += HOUR * 2;
-    world.tell(0, Message::Tick);
-    assert_eq!(blocked(&world), [0], "the log took it 25 h ago");
+fn block_after_restart_expires_a_day_after_its_record() {
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    simulation.append_record(Stream::Blocked, encode_blocks(&[CRASHING], &[]));
+    simulation.settle();
+    assert_eq!(count_blocked(&simulation), [1]);
+    simulation.now += HOUR * 23;
+    simulation.restart(0);
+    assert_eq!(count_blocked(&simulation), [1]);
+    simulation.now += HOUR * 2;
+    simulation.deliver(0, Message::Tick);
+    assert_eq!(count_blocked(&simulation), [0], "the log took it 25 h ago");
 }
 
 #[test]
-fn block_made_anew_after_the_first_has_lapsed_lasts_a_day() {
-    let mut world = World::new(1, 1, Faults::default());
-    world.land(Stream::Blocked, blocks(&[FATAL], &[]));
-    world.now += HOUR * 26;
-    world.land(Stream::Blocked, blocks(&[FATAL], &[]));
-    world.kill(0);
+fn block_renewed_after_expiry_lasts_a_day() {
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    simulation.append_record(Stream::Blocked, encode_blocks(&[CRASHING], &[]));
+    simulation.now += HOUR * 26;
+    simulation.append_record(Stream::Blocked, encode_blocks(&[CRASHING], &[]));
+    simulation.restart(0);
     for (hours, expected) in [(0, 1), (23, 1), (2, 0)] {
-        world.now += HOUR * hours;
-        world.read(0, Stream::Blocked);
-        world.tell(0, Message::Tick);
-        assert_eq!(blocked(&world), [expected], "after another {hours} h");
+        simulation.now += HOUR * hours;
+        simulation.read(0, Stream::Blocked);
+        simulation.deliver(0, Message::Tick);
+        assert_eq!(count_blocked(&simulation), [expected], "after another {hours} h");
     }
 }
 
@@ -108,34 +109,34 @@
 /// blocked again: left: [1, 1] right: [0, 1]
 /// ```
 #[test]
-fn block_that_was_lifted_is_not_taken_from_a_peer() {
-    let mut world = World::new(1, 2, Faults::default());
-    world.land(Stream::Blocked, blocks(&[FATAL], &[]));
-    world.quiet();
-    assert_eq!(blocked(&world), [1, 1]);
-    world.land(Stream::Blocked, blocks(&[], &[FATAL]));
-    world.read(0, Stream::Blocked);
-    assert_eq!(blocked(&world), [0, 1]);
-    let records = world.log[&Stream::Blocked].len();
-    let snapshot = world.nodes[1].snapshot(world.now);
-    world.tell(0, Message::Frame(Frame::Snapshot(snapshot)));
-    world.now += Duration::from_secs(1);
-    world.tell(0, Message::Tick);
-    assert_eq!(blocked(&world), [0, 1], "blocked again");
-    assert_eq!(world.log[&Stream::Blocked].len(), records, "written to the log again");
+fn block_lifted_is_not_restored_by_a_peer() {
+    let mut simulation = Simulation::new(1, 2, Faults::default());
+    simulation.append_record(Stream::Blocked, encode_blocks(&[CRASHING], &[]));
+    simulation.settle();
+    assert_eq!(count_blocked(&simulation), [1, 1]);
+    simulation.append_record(Stream::Blocked, encode_blocks(&[], &[CRASHING]));
+    simulation.read(0, Stream::Blocked);
+    assert_eq!(count_blocked(&simulation), [0, 1]);
+    let records = simulation.log[&Stream::Blocked].len();
+    let snapshot = simulation.nodes[1].snapshot(simulation.now);
+    simulation.deliver(0, Message::Frame(Frame::Snapshot(snapshot)));
+    simulation.now += Duration::from_secs(1);
+    simulation.deliver(0, Message::Tick);
+    assert_eq!(count_blocked(&simulation), [0, 1], "blocked again");
+    assert_eq!(simulation.log[&Stream::Blocked].len(), records, "written to the log again");
 }
 
 /// A log that forgets, with its own clock, and daemons that live one after the other, each with a clock from 0.
-struct Days {
+struct RestartSimulation {
     log: BTreeMap<Stream, Vec<control::Record>>,
     now_ms: u64,
 }
 
-impl Days {
+impl RestartSimulation {
     /// Seconds for which the log keeps records.
     const RETENTION_S: u64 = 12 * 3_600;
     /// Time between two looks of a daemon.
-    const STEP: Duration = Duration::from_secs(60);
+    const TICK_INTERVAL: Duration = Duration::from_secs(60);
 
     fn append(&mut self, stream: Stream, text: String) {
         let records = self.log.entry(stream).or_default();
@@ -154,14 +155,14 @@
     }
 
     /// A daemon lives for as long; whether it had blocked a request soon after its start.
-    fn live(&mut self, life: Duration) -> bool {
+    fn run_daemon(&mut self, uptime: Duration) -> bool {
         let identity =
             Identity { id: "router-0".into(), incarnation: self.now_ms, zone: "z".into() };
         let mut node = Node::new(identity, Policy::default());
-        let vms = World::new(1, 1, Faults::default()).vms();
+        let vms = Simulation::new(1, 1, Faults::default()).vms();
         node.apply(Time::ZERO, Message::VmList(vms));
-        let (mut now, mut at_start) = (Time::ZERO, None);
-        while now < life {
+        let (mut now, mut initially_blocked) = (Time::ZERO, None);
+        while now < uptime {
             for stream in Stream::ALL {
                 let read = self.read(&node, stream);
                 node.apply(now, Message::Records(stream, read));
@@ -177,13 +178,13 @@
                     _ => {}
                 }
             }
-            if now >= Self::STEP * 2 {
-                at_start.get_or_insert(node.status(now).requests_blocked > 0);
+            if now >= Self::TICK_INTERVAL * 2 {
+                initially_blocked.get_or_insert(node.status(now).requests_blocked > 0);
             }
-            now += Self::STEP;
-            self.now_ms += Self::STEP.as_millis() as u64;
+            now += Self::TICK_INTERVAL;
+            self.now_ms += Self::TICK_INTERVAL.as_millis() as u64;
         }
-        at_start.unwrap_or(false)
+        initially_blocked.unwrap_or(false)
     }
 }
 
@@ -191,13 +192,13 @@
 /// so daemons that live for less than a quarter of the retention wrote none: where the log keeps records for 12 h, the
 /// daemons that started from then on had no block. What is written again says for how long it has been blocked.
 #[test]
-fn block_lasts_a_day_where_the_log_and_daemons_last_less() {
-    let mut days = Days { log: BTreeMap::new(), now_ms: 1_700_000_000_000 };
-    days.append(Stream::Manifest, publish_record("first", 0, manifest_value("v1")));
-    days.append(Stream::Blocked, blocks(&[FATAL], &[]));
-    let blocked: Vec<bool> = (0..18).map(|_| days.live(HOUR * 2)).collect();
-    let expected: Vec<bool> = (0..18).map(|life| life < 12).collect();
+fn block_lasts_a_day_with_short_retention_and_uptimes() {
+    let mut simulation = RestartSimulation { log: BTreeMap::new(), now_ms: 1_700_000_000_000 };
+    simulation.append(Stream::Manifest, publish_record("first", 0, manifest_value("v1")));
+    simulation.append(Stream::Blocked, encode_blocks(&[CRASHING], &[]));
+    let blocked: Vec<bool> = (0..18).map(|_| simulation.run_daemon(HOUR * 2)).collect();
+    let expected: Vec<bool> = (0..18).map(|daemon| daemon < 12).collect();
     assert_eq!(blocked, expected, "whether the request is blocked every two hours");
-    let written = days.log[&Stream::Blocked].len();
+    let written = simulation.log[&Stream::Blocked].len();
     assert!((4..=12).contains(&written), "{written} records in a day and a half");
 }
--- a/src/control/tests/mod.rs
+++ b/src/control/tests/mod.rs
@@ -6,4 +6,4 @@
 mod manifests;
 mod orders;
 mod servers;
-mod world;
+mod simulation;
--- a/src/control/tests/orders.rs
+++ b/src/control/tests/orders.rs
@@ -1,6 +1,6 @@
 //! The lease holder among several nodes: paused, replaced, cut off from the log.
 
-use super::world::{Faults, World, manifest_value, publish_record};
+use super::simulation::{Faults, Simulation, manifest_value, publish_record};
 use crate::control::{Effect, Message, Stream};
 use crate::lease::Terms;
 use crate::membership::Report;
@@ -9,193 +9,202 @@
 use crate::prelude::*;
 
 /// Nodes whose engines have `v1` while the manifest asks for `v2`.
-fn world(nodes: usize) -> World {
-    let mut world = World::new(1, nodes, Faults::default());
-    world.land(Stream::Manifest, publish_record("second", 1, manifest_value("v2")));
-    engines_report(&mut world, "v1");
-    world
+fn simulation_before_switch(nodes: usize) -> Simulation {
+    let mut simulation = Simulation::new(1, nodes, Faults::default());
+    simulation.append_record(Stream::Manifest, publish_record("second", 1, manifest_value("v2")));
+    report_version(&mut simulation, "v1");
+    simulation
 }
 
-fn engines_report(world: &mut World, version: &str) {
-    engines_have(world, &[version]);
+fn report_version(simulation: &mut Simulation, version: &str) {
+    report_versions(simulation, &[version]);
 }
 
-fn engines_have(world: &mut World, versions: &[&str]) {
+fn report_versions(simulation: &mut Simulation, versions: &[&str]) {
     let versions: BTreeSet<String> = versions.iter().map(|version| version.to_string()).collect();
-    for index in 0..world.nodes.len() {
+    for index in 0..simulation.nodes.len() {
         for id in ["engine-0", "engine-1"] {
-            let server = world.server(index, id);
+            let server = simulation.server_key(index, id);
             let report = Report {
                 incarnation: "one".into(),
                 weights: BTreeMap::from([("m".into(), versions.clone())]),
                 ..Report::default()
             };
-            world.tell(index, Message::Polled(server, Box::new(report)));
+            simulation.deliver(index, Message::Polled(server, Box::new(report)));
         }
     }
 }
 
 /// Runs the nodes in `running` for `time`, with reads of the log and digests among them.
-fn run(world: &mut World, running: &[usize], time: Duration) {
-    run_behind(world, running, &[], time);
+fn run_nodes(simulation: &mut Simulation, running: &[usize], time: Duration) {
+    run_with_stale(simulation, running, &[], time);
 }
 
 /// Runs the nodes in `running`; those in `behind` can read all but manifests.
-fn run_behind(world: &mut World, running: &[usize], behind: &[usize], time: Duration) {
-    let end = world.now + time;
-    while world.now < end {
+fn run_with_stale(simulation: &mut Simulation, running: &[usize], stale: &[usize], time: Duration) {
+    let end = simulation.now + time;
+    while simulation.now < end {
         for index in running {
-            world.tell(*index, Message::Tick);
-            if behind.contains(index) {
-                world.tell(*index, Message::LogDown(Stream::Manifest));
+            simulation.deliver(*index, Message::Tick);
+            if stale.contains(index) {
+                simulation.deliver(*index, Message::LogDown(Stream::Manifest));
             } else {
-                world.read(*index, Stream::Manifest);
+                simulation.read(*index, Stream::Manifest);
             }
-            world.read(*index, Stream::Lease);
+            simulation.read(*index, Stream::Lease);
         }
-        for action in std::mem::take(&mut world.actions) {
-            if let super::world::Action::Deliver(index, _, message) = action
+        for action in std::mem::take(&mut simulation.pending) {
+            if let super::simulation::PendingAction::Deliver(index, _, message) = action
                 && running.contains(&index)
                 && matches!(*message, Message::Frame(_))
             {
-                world.tell(index, *message);
+                simulation.deliver(index, *message);
             }
         }
-        world.now += Duration::from_millis(50);
+        simulation.now += Duration::from_millis(50);
     }
 }
 
 #[test]
 fn one_holder_orders_after_a_second_ttl() {
-    let mut world = world(3);
+    let mut simulation = simulation_before_switch(3);
     // These engines do not check fencing numbers: nothing is ordered before the lease has been
     // free for a TTL and a margin, and held for another TTL.
-    run(
-        &mut world,
+    run_nodes(
+        &mut simulation,
         &[0, 1, 2],
         Terms::DEFAULT.ttl * 2 + Terms::DEFAULT.margin - Duration::from_millis(1_500),
     );
-    assert!(world.orders.is_empty(), "{:?}", world.orders);
-    run(&mut world, &[0, 1, 2], Duration::from_secs(3));
-    let givers: BTreeSet<usize> = world.orders.iter().map(|(index, ..)| *index).collect();
-    assert_eq!(givers.len(), 1);
-    assert_eq!(world.orders.len(), 2, "one an engine: {:?}", world.orders);
+    assert!(simulation.orders.is_empty(), "{:?}", simulation.orders);
+    run_nodes(&mut simulation, &[0, 1, 2], Duration::from_secs(3));
+    let senders: BTreeSet<usize> = simulation.orders.iter().map(|(index, ..)| *index).collect();
+    assert_eq!(senders.len(), 1);
+    assert_eq!(simulation.orders.len(), 2, "one an engine: {:?}", simulation.orders);
 }
 
 #[test]
 fn paused_holder_orders_nothing_and_is_replaced() {
-    let mut world = world(3);
-    run(&mut world, &[0, 1, 2], Duration::from_secs(13));
-    let (holder, _, order) = world.orders[0].clone();
+    let mut simulation = simulation_before_switch(3);
+    run_nodes(&mut simulation, &[0, 1, 2], Duration::from_secs(13));
+    let (holder, _, order) = simulation.orders[0].clone();
     let others: Vec<usize> = (0..3).filter(|index| *index != holder).collect();
-    world.orders.clear();
+    simulation.orders.clear();
     // The holder freezes; another takes over, with a higher fence.
-    run(&mut world, &others, Duration::from_secs(50));
-    let (second, _, second_order) = world.orders[0].clone();
+    run_nodes(&mut simulation, &others, Duration::from_secs(50));
+    let (second, _, second_order) = simulation.orders[0].clone();
     assert_ne!(second, holder);
     assert!(second_order.fence > order.fence);
     // It wakes up: at its first tick it has read nothing, and must not act.
-    world.orders.clear();
-    world.tell(holder, Message::Tick);
-    assert!(world.orders.is_empty(), "a lease that ran out was acted upon");
+    simulation.orders.clear();
+    simulation.deliver(holder, Message::Tick);
+    assert!(simulation.orders.is_empty(), "a lease that ran out was acted upon");
 }
 
 #[test]
-fn holder_cut_off_from_log_stops() {
-    let mut world = world(1);
-    run(&mut world, &[0], Duration::from_secs(13));
-    assert!(!world.orders.is_empty());
-    world.log_down = true;
-    run(&mut world, &[0], Terms::DEFAULT.ttl);
-    world.orders.clear();
-    run(&mut world, &[0], Duration::from_secs(60));
-    assert!(world.orders.is_empty(), "{:?}", world.orders);
+fn holder_without_log_stops() {
+    let mut simulation = simulation_before_switch(1);
+    run_nodes(&mut simulation, &[0], Duration::from_secs(13));
+    assert!(!simulation.orders.is_empty());
+    simulation.log_down = true;
+    run_nodes(&mut simulation, &[0], Terms::DEFAULT.ttl);
+    simulation.orders.clear();
+    run_nodes(&mut simulation, &[0], Duration::from_secs(60));
+    assert!(simulation.orders.is_empty(), "{:?}", simulation.orders);
 }
 
 /// A manifest whose engines check fences, so that versions are unloaded.
-fn fenced(version: &str, preload: &[&str]) -> serde_json::Value {
+fn fencing_manifest(version: &str, preload: &[&str]) -> serde_json::Value {
     let mut value = manifest_value(version);
     value["pools"]["model"]["checks_fencing"] = serde_json::json!(true);
     value["models"]["m"]["preload"] = serde_json::json!(preload);
     value
 }
 
-fn unloads(world: &World) -> usize {
-    let unload = |order: &Order| matches!(order.action, Action::Unload { .. });
-    world.orders.iter().filter(|(_, _, order)| unload(order)).count()
+fn count_unloads(simulation: &Simulation) -> usize {
+    let is_unload = |order: &Order| matches!(order.action, Action::Unload { .. });
+    simulation.orders.iter().filter(|(_, _, order)| is_unload(order)).count()
 }
 
 /// The holder of the lease could read the lease but no manifests, and heard no peer. What its own manifest
 /// did not name it took for named by none, and after a minute it had engines unload the version that the next
 /// manifest had them load.
 #[test]
-fn holder_that_reads_no_manifests_unloads_nothing() {
-    let mut world = World::new(1, 1, Faults::default());
-    world.land(Stream::Manifest, publish_record("second", 1, fenced("v2", &[])));
-    engines_have(&mut world, &["v2"]);
-    run(&mut world, &[0], Duration::from_secs(70));
-    world.land(Stream::Manifest, publish_record("third", 2, fenced("v2", &["v3"])));
-    run_behind(&mut world, &[0], &[0], Duration::from_secs(1));
-    engines_have(&mut world, &["v2", "v3"]);
-    run_behind(&mut world, &[0], &[0], Duration::from_secs(70));
-    assert!(world.nodes[0].lease.fence(world.now).is_some(), "it still holds the lease");
-    assert_eq!(unloads(&world), 0, "{:?}", world.orders);
+fn holder_without_manifests_unloads_nothing() {
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    simulation
+        .append_record(Stream::Manifest, publish_record("second", 1, fencing_manifest("v2", &[])));
+    report_versions(&mut simulation, &["v2"]);
+    run_nodes(&mut simulation, &[0], Duration::from_secs(70));
+    simulation.append_record(
+        Stream::Manifest,
+        publish_record("third", 2, fencing_manifest("v2", &["v3"])),
+    );
+    run_with_stale(&mut simulation, &[0], &[0], Duration::from_secs(1));
+    report_versions(&mut simulation, &["v2", "v3"]);
+    run_with_stale(&mut simulation, &[0], &[0], Duration::from_secs(70));
+    assert!(simulation.nodes[0].lease.fence(simulation.now).is_some(), "it still holds the lease");
+    assert_eq!(count_unloads(&simulation), 0, "{:?}", simulation.orders);
 }
 
 /// A minute in force at the holder was taken for a minute in force everywhere: versions were unloaded under
 /// a daemon that still sent requests for them, its manifest being the one before.
 #[test]
-fn version_that_a_peer_still_sends_to_is_not_unloaded() {
-    let mut world = World::new(1, 2, Faults::default());
-    world.land(Stream::Manifest, publish_record("second", 1, fenced("v1", &["v2"])));
-    engines_have(&mut world, &["v1", "v2"]);
-    run(&mut world, &[0, 1], Duration::from_secs(20));
-    world.land(Stream::Manifest, publish_record("third", 2, fenced("v2", &[])));
-    world.faults.frame = 100;
-    run_behind(&mut world, &[0, 1], &[1], Duration::from_secs(58));
+fn version_used_by_stale_peer_is_not_unloaded() {
+    let mut simulation = Simulation::new(1, 2, Faults::default());
+    simulation.append_record(
+        Stream::Manifest,
+        publish_record("second", 1, fencing_manifest("v1", &["v2"])),
+    );
+    report_versions(&mut simulation, &["v1", "v2"]);
+    run_nodes(&mut simulation, &[0, 1], Duration::from_secs(20));
+    simulation
+        .append_record(Stream::Manifest, publish_record("third", 2, fencing_manifest("v2", &[])));
+    simulation.faults.frame_percent = 100;
+    run_with_stale(&mut simulation, &[0, 1], &[1], Duration::from_secs(58));
     // They hear each other again, and only the one that is behind is not told more than digests.
-    world.faults.frame = 0;
+    simulation.faults.frame_percent = 0;
     for _ in 0..100 {
         let digest = Digest { daemon: "router-1".into(), generation: 2, ..Digest::default() };
-        world.tell(0, Message::Frame(Frame::Digest(digest)));
-        run_behind(&mut world, &[0], &[], Duration::from_millis(250));
+        simulation.deliver(0, Message::Frame(Frame::Digest(digest)));
+        run_with_stale(&mut simulation, &[0], &[], Duration::from_millis(250));
     }
-    assert_eq!(unloads(&world), 0, "{:?}", world.orders);
+    assert_eq!(count_unloads(&simulation), 0, "{:?}", simulation.orders);
     // Once it has the manifest too, or is not heard any more, they are unloaded.
-    run_behind(&mut world, &[0], &[], Duration::from_secs(10));
-    assert!(unloads(&world) > 0);
+    run_with_stale(&mut simulation, &[0], &[], Duration::from_secs(10));
+    assert!(count_unloads(&simulation) > 0);
 }
 
 /// An engine had carried an order out; what it had reported before that counted as what it has, and the order
 /// was given again at the next tick, and took a place among those that load at a time.
 #[test]
-fn order_that_was_carried_out_is_not_given_again_on_an_old_report() {
-    let mut world = world(1);
-    world.land(Stream::Manifest, publish_record("third", 2, fenced("v2", &[])));
-    while world.orders.is_empty() {
-        run(&mut world, &[0], Duration::from_millis(50));
+fn order_completed_is_not_repeated_on_old_report() {
+    let mut simulation = simulation_before_switch(1);
+    simulation
+        .append_record(Stream::Manifest, publish_record("third", 2, fencing_manifest("v2", &[])));
+    while simulation.orders.is_empty() {
+        run_nodes(&mut simulation, &[0], Duration::from_millis(50));
     }
-    assert_eq!(world.orders.len(), 2);
-    let engines = ["engine-0", "engine-1"].map(|id| world.server(0, id));
-    engines_report(&mut world, "v1");
+    assert_eq!(simulation.orders.len(), 2);
+    let engines = ["engine-0", "engine-1"].map(|id| simulation.server_key(0, id));
+    report_version(&mut simulation, "v1");
     for engine in engines {
-        let effects = world.nodes[0].apply(world.now, Message::Ordered(engine, true));
-        let polled = effects.iter().any(|effect| matches!(effect, Effect::Poll { .. }));
-        assert!(polled, "it is asked at once: {effects:?}");
+        let effects = simulation.nodes[0].apply(simulation.now, Message::Ordered(engine, true));
+        let has_poll = effects.iter().any(|effect| matches!(effect, Effect::Poll { .. }));
+        assert!(has_poll, "it is asked at once: {effects:?}");
     }
-    run(&mut world, &[0], Duration::from_millis(500));
-    assert_eq!(world.orders.len(), 2, "{:?}", world.orders);
+    run_nodes(&mut simulation, &[0], Duration::from_millis(500));
+    assert_eq!(simulation.orders.len(), 2, "{:?}", simulation.orders);
     // One that has lost the version all the same is ordered again.
-    engines_have(&mut world, &["v1"]);
-    run(&mut world, &[0], Duration::from_millis(500));
-    assert_eq!(world.orders.len(), 4, "{:?}", world.orders);
+    report_versions(&mut simulation, &["v1"]);
+    run_nodes(&mut simulation, &[0], Duration::from_millis(500));
+    assert_eq!(simulation.orders.len(), 4, "{:?}", simulation.orders);
 }
 
 #[test]
-fn nothing_is_ordered_when_versions_are_there() {
-    let mut world = world(2);
-    run(&mut world, &[0, 1], Duration::from_secs(1));
-    engines_report(&mut world, "v2");
-    run(&mut world, &[0, 1], Duration::from_secs(40));
-    assert!(world.orders.is_empty(), "{:?}", world.orders);
+fn order_not_sent_when_versions_are_loaded() {
+    let mut simulation = simulation_before_switch(2);
+    run_nodes(&mut simulation, &[0, 1], Duration::from_secs(1));
+    report_version(&mut simulation, "v2");
+    run_nodes(&mut simulation, &[0, 1], Duration::from_secs(40));
+    assert!(simulation.orders.is_empty(), "{:?}", simulation.orders);
 }
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -1,6 +1,6 @@
 //! Engines that restart, freeze, leave and fail, and what a node does with their requests.
 
-use super::world::{Faults, World, manifest_value, publish_record};
+use super::simulation::{Faults, Simulation, manifest_value, publish_record};
 use crate::attempt::{self, Arrival, Command, Dispatch, Outcome, Report, Target};
 use crate::control::{Effect, Message, Read, Stream};
 use crate::manifest::{Objective, Priority};
@@ -20,41 +20,42 @@
 }
 
 /// One node and two engines that have reported.
-struct Bench {
-    world: World,
-    next: u64,
+struct Fixture {
+    simulation: Simulation,
+    next_request: u64,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
-        let mut bench = Self { world: World::new(1, 1, Faults::default()), next: 0 };
+        let mut fixture =
+            Self { simulation: Simulation::new(1, 1, Faults::default()), next_request: 0 };
         for id in ["engine-0", "engine-1"] {
-            bench.polled(id, report("one", "v1"));
+            fixture.deliver_report(id, report("one", "v1"));
         }
-        bench
+        fixture
     }
 
     fn apply(&mut self, message: Message) -> Vec<Effect> {
-        self.world.nodes[0].apply(self.world.now, message)
+        self.simulation.nodes[0].apply(self.simulation.now, message)
     }
 
-    fn polled(&mut self, id: &str, report: crate::membership::Report) -> Vec<Effect> {
-        let server = self.world.server(0, id);
+    fn deliver_report(&mut self, id: &str, report: crate::membership::Report) -> Vec<Effect> {
+        let server = self.simulation.server_key(0, id);
         self.apply(Message::Polled(server, Box::new(report)))
     }
 
-    fn ask(&mut self, workspace: &str, weights: &str) -> (attempt::Key, Vec<Effect>) {
-        self.ask_about("p", workspace, weights)
+    fn send_request(&mut self, workspace: &str, weights: &str) -> (attempt::Key, Vec<Effect>) {
+        self.send_prompt("p", workspace, weights)
     }
 
-    fn ask_about(
+    fn send_prompt(
         &mut self,
         text: &str,
         workspace: &str,
         weights: &str,
     ) -> (attempt::Key, Vec<Effect>) {
-        let request = attempt::Key(1_000 + self.next);
-        self.next += 1;
+        let request = attempt::Key(1_000 + self.next_request);
+        self.next_request += 1;
         let salt = root(Scope { workspace, model: "m", weights, adapter: "" });
         let prompt = text.repeat(8 * BLOCK_BYTES);
         let arrival = Arrival {
@@ -69,7 +70,7 @@
             },
             pool: "model".into(),
             priority: Priority::Normal,
-            deadline: self.world.now + Duration::from_secs(1),
+            deadline: self.simulation.now + Duration::from_secs(1),
             prefix: Prefix::new(salt, prompt.as_bytes(), &[]),
             tokens: 2_048,
             max_tokens: 1,
@@ -81,11 +82,16 @@
         (request, effects)
     }
 
-    fn ended(&mut self, request: attempt::Key, attempt: u32, outcome: Outcome) -> Vec<Effect> {
+    fn end_attempt(
+        &mut self,
+        request: attempt::Key,
+        attempt: u32,
+        outcome: Outcome,
+    ) -> Vec<Effect> {
         self.apply(Message::Report { request, attempt, report: Report::Ended(outcome) })
     }
 
-    fn begun(&mut self, request: attempt::Key, attempt: u32) {
+    fn begin_answer(&mut self, request: attempt::Key, attempt: u32) {
         let report = Report::Begun { cached_tokens: Some(0) };
         self.apply(Message::Report { request, attempt, report });
     }
@@ -101,14 +107,14 @@
         .collect()
 }
 
-fn dispatched(effects: &[Effect]) -> Option<&Dispatch> {
+fn find_dispatch(effects: &[Effect]) -> Option<&Dispatch> {
     commands(effects).into_iter().find_map(|command| match command {
         Command::Dispatch(dispatch) => Some(dispatch),
         _ => None,
     })
 }
 
-fn refused(effects: &[Effect]) -> Option<(Code, Execution)> {
+fn find_refusal(effects: &[Effect]) -> Option<(Code, Execution)> {
     commands(effects).into_iter().find_map(|command| match command {
         Command::Refuse(refusal) => Some((refusal.error.code, refusal.execution)),
         _ => None,
@@ -117,84 +123,86 @@
 
 #[test]
 fn restart_drops_residency() {
-    let mut bench = Bench::new();
-    let (request, effects) = bench.ask("w", "v1");
-    let first = dispatched(&effects).expect("it is dispatched").clone();
-    bench.begun(request, 1);
-    bench.ended(request, 1, Outcome::Complete(None));
-    assert_eq!(bench.world.nodes[0].residency.len(), 8);
-    let mut renewed = report("two", "v1");
-    renewed.from = 5;
-    bench.polled(&first.id, renewed);
-    assert!(bench.world.nodes[0].residency.is_empty(), "entries of a dead engine");
+    let mut fixture = Fixture::new();
+    let (request, effects) = fixture.send_request("w", "v1");
+    let first = find_dispatch(&effects).expect("it is dispatched").clone();
+    fixture.begin_answer(request, 1);
+    fixture.end_attempt(request, 1, Outcome::Complete(None));
+    assert_eq!(fixture.simulation.nodes[0].residency.len(), 8);
+    let mut restarted = report("two", "v1");
+    restarted.from = 5;
+    fixture.deliver_report(&first.id, restarted);
+    assert!(fixture.simulation.nodes[0].residency.is_empty(), "entries of a dead engine");
 }
 
 #[test]
-fn residency_apart_by_workspace_and_weights() {
-    let mut bench = Bench::new();
-    bench.ask("w", "v1");
+fn residency_separate_by_workspace_and_weights() {
+    let mut fixture = Fixture::new();
+    fixture.send_request("w", "v1");
     for (workspace, weights) in [("other", "v1"), ("w", "v2")] {
         let salt = root(Scope { workspace, model: "m", weights, adapter: "" });
         let prefix = Prefix::new(salt, "p".repeat(8 * BLOCK_BYTES).as_bytes(), &[]);
-        let depth = bench.world.nodes[0].residency.depth(&prefix.blocks);
+        let depth = fixture.simulation.nodes[0].residency.depth(&prefix.blocks);
         assert!(depth.is_empty(), "{workspace} {weights}: {depth:?}");
     }
 }
 
 #[test]
-fn copy_of_another_incarnation_is_not_relied_on() {
-    let mut bench = Bench::new();
+fn copy_of_another_incarnation_is_ignored() {
+    let mut fixture = Fixture::new();
     let salt = root(Scope { workspace: "w", model: "m", weights: "v1", adapter: "" });
     let prefix = Prefix::new(salt, "p".repeat(8 * BLOCK_BYTES).as_bytes(), &[]);
     let level = prefix.level(0).expect("a level");
-    for (incarnation, holders) in [("one", 1), ("two", 0)] {
+    for (incarnation, expected_holders) in [("one", 1), ("two", 0)] {
         let copy = Copy { level, server: "engine-1".into(), incarnation: incarnation.into() };
         let digest = Digest { daemon: "router-9".into(), copies: vec![copy], ..Digest::default() };
-        bench.apply(Message::Frame(Frame::Digest(digest)));
-        let depth = bench.world.nodes[0].cached_depth(bench.world.now, &prefix);
-        assert_eq!(depth.len(), holders, "{incarnation}");
+        fixture.apply(Message::Frame(Frame::Digest(digest)));
+        let depth = fixture.simulation.nodes[0].cached_depth(fixture.simulation.now, &prefix);
+        assert_eq!(depth.len(), expected_holders, "{incarnation}");
     }
 }
 
 #[test]
-fn event_gap_that_touches_much_drops_residency() {
-    let mut bench = Bench::new();
+fn event_gap_over_many_events_drops_residency() {
+    let mut fixture = Fixture::new();
     let stored = |seq| CacheEvent { seq, change: Change::Stored, block: seq };
     let events = vec![stored(0), stored(1)];
-    bench.polled(
+    fixture.deliver_report(
         "engine-0",
         crate::membership::Report { next_seq: 2, events, ..report("one", "v1") },
     );
-    assert_eq!(bench.world.nodes[0].residency.len(), 2);
+    assert_eq!(fixture.simulation.nodes[0].residency.len(), 2);
     let events = vec![stored(4)];
     let gap = crate::membership::Report { from: 2, next_seq: 5, events, ..report("one", "v1") };
-    bench.polled("engine-0", gap);
-    let depth = bench.world.nodes[0].residency.depth(&[Key(4)]);
-    assert_eq!(bench.world.nodes[0].residency.len(), 1, "only what came after the gap");
+    fixture.deliver_report("engine-0", gap);
+    let depth = fixture.simulation.nodes[0].residency.depth(&[Key(4)]);
+    assert_eq!(fixture.simulation.nodes[0].residency.len(), 1, "only what came after the gap");
     assert_eq!(depth.len(), 1);
 }
 
 #[test]
-fn weights_not_served_refused() {
-    let mut bench = Bench::new();
-    let (_, effects) = bench.ask("w", "v2");
-    assert_eq!(refused(&effects), Some((Code::NoServer, Execution::NotRun)));
+fn weights_unserved_are_refused() {
+    let mut fixture = Fixture::new();
+    let (_, effects) = fixture.send_request("w", "v2");
+    assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::NotRun)));
 }
 
 /// Puts `v2` in force, and has a node whose engines last reported `v1` asked for it.
-fn ask_after_switch(bench: &mut Bench) -> (attempt::Key, Vec<Effect>) {
-    bench.world.now += Duration::from_millis(100);
-    bench.world.land(Stream::Manifest, publish_record("second", 1, manifest_value("v2")));
-    bench.world.read(0, Stream::Manifest);
-    bench.world.now += Duration::from_millis(20);
-    bench.ask("w", "v2")
+fn send_request_after_switch(fixture: &mut Fixture) -> (attempt::Key, Vec<Effect>) {
+    fixture.simulation.now += Duration::from_millis(100);
+    fixture
+        .simulation
+        .append_record(Stream::Manifest, publish_record("second", 1, manifest_value("v2")));
+    fixture.simulation.read(0, Stream::Manifest);
+    fixture.simulation.now += Duration::from_millis(20);
+    fixture.send_request("w", "v2")
 }
 
-fn polled_at_once(effects: &[Effect]) -> usize {
+fn count_polls(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Poll { .. })).count()
 }
 
-fn with_both(incarnation: &str) -> crate::membership::Report {
+fn report_with_both_versions(incarnation: &str) -> crate::membership::Report {
     let both = BTreeSet::from(["v1".to_owned(), "v2".to_owned()]);
     let weights = BTreeMap::from([("m".to_owned(), both)]);
     crate::membership::Report { weights, ..report(incarnation, "v1") }
@@ -206,101 +214,106 @@
 /// `left: 503, right: 200`, with 2002, "No live backend server serves this now".
 #[test]
 fn weights_loaded_since_the_last_report_are_served() {
-    let mut bench = Bench::new();
-    let (_, effects) = ask_after_switch(&mut bench);
-    assert_eq!(refused(&effects), None, "no engine has been asked since v2 came into force");
-    assert_eq!(polled_at_once(&effects), 2, "{effects:?}");
-    let effects = bench.polled("engine-1", with_both("one"));
-    assert_eq!(dispatched(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
+    let mut fixture = Fixture::new();
+    let (_, effects) = send_request_after_switch(&mut fixture);
+    assert_eq!(find_refusal(&effects), None, "no engine has been asked since v2 came into force");
+    assert_eq!(count_polls(&effects), 2, "{effects:?}");
+    let effects = fixture.deliver_report("engine-1", report_with_both_versions("one"));
+    assert_eq!(find_dispatch(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
 }
 
 /// A daemon that started had heard one engine of a pool, which had not loaded the new weights yet, and
 /// took that one for the pool: it refused what the other, not heard yet, would have served.
 #[test]
-fn weights_at_an_engine_not_heard_yet_are_served() {
-    let mut bench = Bench { world: World::new(1, 1, Faults::default()), next: 0 };
-    bench.polled("engine-0", report("one", "v1"));
-    assert!(bench.world.nodes[0].is_ready());
-    let (_, effects) = ask_after_switch(&mut bench);
-    assert_eq!(refused(&effects), None, "engine-1 has not been heard");
-    bench.polled("engine-0", report("one", "v1"));
-    let effects = bench.polled("engine-1", report("one", "v2"));
-    assert_eq!(dispatched(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
+fn weights_at_unpolled_engine_are_served() {
+    let mut fixture =
+        Fixture { simulation: Simulation::new(1, 1, Faults::default()), next_request: 0 };
+    fixture.deliver_report("engine-0", report("one", "v1"));
+    assert!(fixture.simulation.nodes[0].is_ready());
+    let (_, effects) = send_request_after_switch(&mut fixture);
+    assert_eq!(find_refusal(&effects), None, "engine-1 has not been heard");
+    fixture.deliver_report("engine-0", report("one", "v1"));
+    let effects = fixture.deliver_report("engine-1", report("one", "v2"));
+    assert_eq!(find_dispatch(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
 }
 
 /// Once every engine has been asked since, or in vain, no more is waited for.
 #[test]
-fn weights_that_no_engine_has_are_refused_once_all_are_asked() {
-    let mut bench = Bench::new();
-    let (_, effects) = ask_after_switch(&mut bench);
-    assert_eq!(refused(&effects), None, "not all have been asked since");
-    let effects = bench.polled("engine-0", report("one", "v1"));
-    assert_eq!(refused(&effects), None, "one engine is not all");
-    let server = bench.world.server(0, "engine-1");
-    let effects = bench.apply(Message::PollFailed(server));
-    assert_eq!(refused(&effects), Some((Code::NoServer, Execution::NotRun)));
-    let (_, effects) = bench.ask("w", "v2");
-    assert_eq!(refused(&effects), Some((Code::NoServer, Execution::NotRun)));
+fn weights_unserved_are_refused_once_all_engines_polled() {
+    let mut fixture = Fixture::new();
+    let (_, effects) = send_request_after_switch(&mut fixture);
+    assert_eq!(find_refusal(&effects), None, "not all have been asked since");
+    let effects = fixture.deliver_report("engine-0", report("one", "v1"));
+    assert_eq!(find_refusal(&effects), None, "one engine is not all");
+    let server = fixture.simulation.server_key(0, "engine-1");
+    let effects = fixture.apply(Message::PollFailed(server));
+    assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::NotRun)));
+    let (_, effects) = fixture.send_request("w", "v2");
+    assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::NotRun)));
 }
 
 /// A poll that was on its way when the weights came into force may tell of before.
 #[test]
-fn report_asked_for_before_the_switch_tells_nothing_of_it() {
-    let mut bench = Bench::new();
-    bench.world.now += Duration::from_millis(600);
-    assert_eq!(polled_at_once(&bench.apply(Message::Tick)), 2, "polls are due");
-    let (request, effects) = ask_after_switch(&mut bench);
-    assert_eq!((refused(&effects), polled_at_once(&effects)), (None, 0));
+fn report_from_before_switch_is_not_conclusive() {
+    let mut fixture = Fixture::new();
+    fixture.simulation.now += Duration::from_millis(600);
+    assert_eq!(count_polls(&fixture.apply(Message::Tick)), 2, "polls are due");
+    let (request, effects) = send_request_after_switch(&mut fixture);
+    assert_eq!((find_refusal(&effects), count_polls(&effects)), (None, 0));
     for id in ["engine-0", "engine-1"] {
-        let effects = bench.polled(id, report("one", "v1"));
-        assert_eq!((refused(&effects), polled_at_once(&effects)), (None, 1), "{id} is asked again");
+        let effects = fixture.deliver_report(id, report("one", "v1"));
+        assert_eq!(
+            (find_refusal(&effects), count_polls(&effects)),
+            (None, 1),
+            "{id} is asked again"
+        );
     }
-    let effects = bench.polled("engine-0", with_both("one"));
-    assert!(dispatched(&effects).is_some());
-    bench.ended(request, 1, Outcome::Complete(None));
+    let effects = fixture.deliver_report("engine-0", report_with_both_versions("one"));
+    assert!(find_dispatch(&effects).is_some());
+    fixture.end_attempt(request, 1, Outcome::Complete(None));
 }
 
 /// An engine that is frozen holds a request no longer than the request's own time.
 #[test]
-fn request_that_waits_for_reports_ends_at_its_deadline() {
-    let mut bench = Bench::new();
-    let (_, effects) = ask_after_switch(&mut bench);
-    assert_eq!(refused(&effects), None);
-    bench.world.now += Duration::from_millis(1_001);
-    let effects = bench.apply(Message::Tick);
-    assert_eq!(refused(&effects), Some((Code::DeadlinePassed, Execution::NotRun)));
+fn request_waiting_for_reports_ends_at_deadline() {
+    let mut fixture = Fixture::new();
+    let (_, effects) = send_request_after_switch(&mut fixture);
+    assert_eq!(find_refusal(&effects), None);
+    fixture.simulation.now += Duration::from_millis(1_001);
+    let effects = fixture.apply(Message::Tick);
+    assert_eq!(find_refusal(&effects), Some((Code::DeadlinePassed, Execution::NotRun)));
 }
 
 #[test]
-fn leaving_server_gets_nothing_new_from_any_source() {
+fn draining_server_gets_no_requests_from_any_source() {
     for source in 0..3 {
-        let mut bench = Bench::new();
+        let mut fixture = Fixture::new();
         match source {
             0 => {
-                let mut vms = bench.world.vms();
+                let mut vms = fixture.simulation.vms();
                 for vm in vms.iter_mut().filter(|vm| vm.id == "engine-0") {
                     vm.standing = Standing::Leaving;
                 }
-                bench.apply(Message::VmList(vms));
+                fixture.apply(Message::VmList(vms));
             }
             1 => {
                 let leaving = crate::membership::Report { leaving: true, ..report("one", "v1") };
-                bench.polled("engine-0", leaving);
+                fixture.deliver_report("engine-0", leaving);
             }
             _ => {
                 let leaving = vec!["engine-0".to_owned()];
                 let digest = Digest { daemon: "router-9".into(), leaving, ..Digest::default() };
-                bench.apply(Message::Frame(Frame::Digest(digest)));
+                fixture.apply(Message::Frame(Frame::Digest(digest)));
             }
         }
         // The VM list lags and still calls it live.
-        let vms = bench.world.vms();
-        bench.apply(Message::VmList(vms));
+        let vms = fixture.simulation.vms();
+        fixture.apply(Message::VmList(vms));
         for text in ["a", "b", "c", "d", "e", "f"] {
-            let (request, effects) = bench.ask_about(text, "w", "v1");
-            let dispatch = dispatched(&effects).expect("it is dispatched");
+            let (request, effects) = fixture.send_prompt(text, "w", "v1");
+            let dispatch = find_dispatch(&effects).expect("it is dispatched");
             assert_eq!(dispatch.id, "engine-1", "source {source}");
-            bench.ended(request, 1, Outcome::Complete(None));
+            fixture.end_attempt(request, 1, Outcome::Complete(None));
         }
     }
 }
@@ -309,76 +322,77 @@
 /// dropped the word, since it knew none of them yet. The list lagged: until the peer's next digest it gave
 /// them new work, and for good where the peer stopped then.
 #[test]
-fn leaving_server_heard_of_before_the_list_gets_nothing() {
-    let mut bench = Bench { world: World::new(1, 1, Faults::default()), next: 0 };
-    let vms = bench.world.vms();
-    bench.apply(Message::VmList(Vec::new()));
+fn draining_server_listed_late_gets_no_requests() {
+    let mut fixture =
+        Fixture { simulation: Simulation::new(1, 1, Faults::default()), next_request: 0 };
+    let vms = fixture.simulation.vms();
+    fixture.apply(Message::VmList(Vec::new()));
     let leaving = vec!["engine-0".to_owned()];
     let digest = Digest { daemon: "router-9".into(), leaving, ..Digest::default() };
-    bench.apply(Message::Frame(Frame::Digest(digest)));
-    bench.apply(Message::VmList(vms));
+    fixture.apply(Message::Frame(Frame::Digest(digest)));
+    fixture.apply(Message::VmList(vms));
     for id in ["engine-0", "engine-1"] {
-        bench.polled(id, report("one", "v1"));
+        fixture.deliver_report(id, report("one", "v1"));
     }
     for text in ["a", "b", "c", "d", "e", "f"] {
-        let (request, effects) = bench.ask_about(text, "w", "v1");
-        assert_eq!(dispatched(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
-        bench.ended(request, 1, Outcome::Complete(None));
+        let (request, effects) = fixture.send_prompt(text, "w", "v1");
+        assert_eq!(find_dispatch(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
+        fixture.end_attempt(request, 1, Outcome::Complete(None));
     }
 }
 
 #[test]
 fn unreachable_engine_aborts_attempts() {
-    let mut bench = Bench::new();
-    let (request, effects) = bench.ask("w", "v1");
-    let server = dispatched(&effects).expect("it is dispatched").server;
-    bench.apply(Message::PollFailed(server));
-    let effects = bench.apply(Message::PollFailed(server));
+    let mut fixture = Fixture::new();
+    let (request, effects) = fixture.send_request("w", "v1");
+    let server = find_dispatch(&effects).expect("it is dispatched").server;
+    fixture.apply(Message::PollFailed(server));
+    let effects = fixture.apply(Message::PollFailed(server));
     assert_eq!(commands(&effects), [&Command::Abort(1)]);
-    let effects = bench.ended(request, 1, Outcome::Broken("aborted".into()));
-    assert_ne!(dispatched(&effects).expect("it is tried elsewhere").server, server);
+    let effects = fixture.end_attempt(request, 1, Outcome::Broken("aborted".into()));
+    assert_ne!(find_dispatch(&effects).expect("it is tried elsewhere").server, server);
 }
 
 #[test]
 fn broken_stream_resumes_then_continues_elsewhere() {
-    let mut bench = Bench::new();
-    let (request, effects) = bench.ask("w", "v1");
-    let server = dispatched(&effects).expect("it is dispatched").server;
-    bench.begun(request, 1);
-    let effects = bench.ended(request, 1, Outcome::Broken("cut".into()));
-    let second = dispatched(&effects).expect("it is resumed").clone();
+    let mut fixture = Fixture::new();
+    let (request, effects) = fixture.send_request("w", "v1");
+    let server = find_dispatch(&effects).expect("it is dispatched").server;
+    fixture.begin_answer(request, 1);
+    let effects = fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
+    let second = find_dispatch(&effects).expect("it is resumed").clone();
     assert!(second.resume && second.server == server);
-    let effects = bench.ended(request, 2, Outcome::Broken("cut again".into()));
-    let third = dispatched(&effects).expect("it is continued").clone();
+    let effects = fixture.end_attempt(request, 2, Outcome::Broken("cut again".into()));
+    let third = find_dispatch(&effects).expect("it is continued").clone();
     assert!(!third.resume && third.server != server);
-    bench.ended(request, 3, Outcome::Broken("cut".into()));
-    let effects = bench.ended(request, 4, Outcome::Broken("cut".into()));
-    assert_eq!(refused(&effects), Some((Code::GenerationFailed, Execution::Unknown)));
+    fixture.end_attempt(request, 3, Outcome::Broken("cut".into()));
+    let effects = fixture.end_attempt(request, 4, Outcome::Broken("cut".into()));
+    assert_eq!(find_refusal(&effects), Some((Code::GenerationFailed, Execution::Unknown)));
 }
 
 #[test]
-fn failure_says_what_ran() {
+fn failure_reports_execution() {
     let cases = [
         (Outcome::Late, Code::DeadlinePassed, Execution::NotRun),
         (Outcome::Broken("b".into()), Code::OutcomeUnknown, Execution::Unknown),
         (Outcome::TooLarge, Code::AnswerTooLarge, Execution::Unknown),
     ];
     for (outcome, code, execution) in cases {
-        let mut world = World::new(1, 1, Faults::default());
-        let request = world.pay(0, None);
+        let mut simulation = Simulation::new(1, 1, Faults::default());
+        let request = simulation.send_payment(0, None);
         let report = Report::Ended(outcome.clone());
-        let effects =
-            world.nodes[0].apply(world.now, Message::Report { request, attempt: 1, report });
-        assert_eq!(refused(&effects), Some((code, execution)), "{outcome:?}");
+        let effects = simulation.nodes[0]
+            .apply(simulation.now, Message::Report { request, attempt: 1, report });
+        assert_eq!(find_refusal(&effects), Some((code, execution)), "{outcome:?}");
     }
-    let mut world = World::new(1, 1, Faults::default());
-    let request = world.pay(0, None);
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    let request = simulation.send_payment(0, None);
     for attempt in 1..=attempt::MAX_ATTEMPTS {
         let report = Report::Ended(Outcome::Unsent("refused".into()));
         let message = Message::Report { request, attempt, report };
-        let effects = world.nodes[0].apply(world.now, message);
-        match refused(&effects) {
-            None => world.now += Duration::from_millis(1),
+        let effects = simulation.nodes[0].apply(simulation.now, message);
+        match find_refusal(&effects) {
+            None => simulation.now += Duration::from_millis(1),
             Some(answer) => {
                 assert_eq!(answer.1, Execution::NotRun, "attempt {attempt}: {answer:?}");
                 return;
@@ -390,71 +404,72 @@
 
 #[test]
 fn refusal_after_an_attempt_that_may_have_run_is_unknown() {
-    let mut bench = Bench::new();
-    let (request, _) = bench.ask("w", "v1");
+    let mut fixture = Fixture::new();
+    let (request, _) = fixture.send_request("w", "v1");
     for id in ["engine-0", "engine-1"] {
-        let server = bench.world.server(0, id);
-        bench.apply(Message::PollFailed(server));
-        bench.apply(Message::PollFailed(server));
+        let server = fixture.simulation.server_key(0, id);
+        fixture.apply(Message::PollFailed(server));
+        fixture.apply(Message::PollFailed(server));
     }
-    let effects = bench.ended(request, 1, Outcome::Broken("cut".into()));
-    assert_eq!(refused(&effects), Some((Code::NoServer, Execution::Unknown)));
+    let effects = fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
+    assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::Unknown)));
 }
 
 #[test]
 fn late_report_of_an_ended_attempt_changes_nothing() {
-    let mut bench = Bench::new();
-    let (request, _) = bench.ask("w", "v1");
-    bench.ended(request, 1, Outcome::Broken("cut".into()));
-    let effects = bench.ended(request, 1, Outcome::Complete(None));
+    let mut fixture = Fixture::new();
+    let (request, _) = fixture.send_request("w", "v1");
+    fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
+    let effects = fixture.end_attempt(request, 1, Outcome::Complete(None));
     assert_eq!(effects, []);
-    assert!(bench.world.nodes[0].is_open(request), "the second attempt is still under way");
+    assert!(fixture.simulation.nodes[0].is_open(request), "the second attempt is still under way");
 }
 
 #[test]
 fn retries_are_budgeted() {
-    let mut bench = Bench::new();
-    let mut retried = 0;
+    let mut fixture = Fixture::new();
+    let mut retry_count = 0;
     for _ in 0..100 {
-        let (request, _) = bench.ask("w", "v1");
+        let (request, _) = fixture.send_request("w", "v1");
         for attempt in 1..=attempt::MAX_ATTEMPTS {
-            let effects = bench.ended(request, attempt, Outcome::Broken("cut".into()));
-            if dispatched(&effects).is_none() {
+            let effects = fixture.end_attempt(request, attempt, Outcome::Broken("cut".into()));
+            if find_dispatch(&effects).is_none() {
                 break;
             }
-            retried += 1;
+            retry_count += 1;
         }
     }
-    assert!((20..=31).contains(&retried), "{retried} retries for 100 requests");
+    assert!((20..=31).contains(&retry_count), "{retry_count} retries for 100 requests");
 }
 
 #[test]
 fn retries_left_after_many_successes() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     for _ in 0..100 {
-        let (request, _) = bench.ask("w", "v1");
-        bench.ended(request, 1, Outcome::Complete(None));
+        let (request, _) = fixture.send_request("w", "v1");
+        fixture.end_attempt(request, 1, Outcome::Complete(None));
     }
     for number in 0..5 {
-        let (request, _) = bench.ask("w", "v1");
-        let effects = bench.ended(request, 1, Outcome::Broken("cut".into()));
-        assert!(dispatched(&effects).is_some(), "retry {number} is not left");
-        bench.ended(request, 2, Outcome::Complete(None));
+        let (request, _) = fixture.send_request("w", "v1");
+        let effects = fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
+        assert!(find_dispatch(&effects).is_some(), "retry {number} is not left");
+        fixture.end_attempt(request, 2, Outcome::Complete(None));
     }
 }
 
 #[test]
-fn ready_once_engines_have_answered_or_not() {
-    let mut world = World::new(1, 1, Faults::default());
-    assert!(!world.nodes[0].is_ready(), "nothing could be served yet");
-    let servers = ["engine-0", "engine-1"].map(|id| world.server(0, id));
-    world.nodes[0].apply(world.now, Message::Polled(servers[0], Box::new(report("one", "v1"))));
-    assert!(world.nodes[0].is_ready());
-    let mut world = World::new(1, 1, Faults::default());
+fn ready_once_engines_answered_or_failed() {
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    assert!(!simulation.nodes[0].is_ready(), "nothing could be served yet");
+    let servers = ["engine-0", "engine-1"].map(|id| simulation.server_key(0, id));
+    simulation.nodes[0]
+        .apply(simulation.now, Message::Polled(servers[0], Box::new(report("one", "v1"))));
+    assert!(simulation.nodes[0].is_ready());
+    let mut simulation = Simulation::new(1, 1, Faults::default());
     for server in servers {
-        world.nodes[0].apply(world.now, Message::PollFailed(server));
+        simulation.nodes[0].apply(simulation.now, Message::PollFailed(server));
     }
-    assert!(world.nodes[0].is_ready(), "a pool that is down holds nothing else back");
+    assert!(simulation.nodes[0].is_ready(), "a pool that is down holds nothing else back");
 }
 
 /// What is blocked for ending servers is kept on a stream of its own, and peers tell of it only until the
@@ -462,72 +477,72 @@
 /// was blocked to the next engine before it had read that stream.
 #[test]
 fn ready_once_blocked_requests_are_known() {
-    let mut world = World::new(1, 1, Faults::default());
+    let mut simulation = Simulation::new(1, 1, Faults::default());
     let blocked = [Fingerprint(7), Fingerprint(8)];
     for fingerprint in blocked {
         let blocked = Blocked { fingerprint, age: Duration::ZERO };
-        world.land(Stream::Blocked, Record::new(&[blocked], &[]).encode());
+        simulation.append_record(Stream::Blocked, Record::new(&[blocked], &[]).encode());
     }
-    world.log_down = true;
-    world.kill(0);
-    world.log_down = false;
-    world.read(0, Stream::Manifest);
-    let servers = ["engine-0", "engine-1"].map(|id| world.server(0, id));
+    simulation.log_down = true;
+    simulation.restart(0);
+    simulation.log_down = false;
+    simulation.read(0, Stream::Manifest);
+    let servers = ["engine-0", "engine-1"].map(|id| simulation.server_key(0, id));
     for server in servers {
-        world.tell(0, Message::Polled(server, Box::new(report("one", "v1"))));
+        simulation.deliver(0, Message::Polled(server, Box::new(report("one", "v1"))));
     }
-    assert!(world.nodes[0].is_ready(), "a stream that can't be read holds nothing back");
-    let first = world.log[&Stream::Blocked][..1].to_vec();
+    assert!(simulation.nodes[0].is_ready(), "a stream that can't be read holds nothing back");
+    let first = simulation.log[&Stream::Blocked][..1].to_vec();
     let page = Read { first: 0, next: 2, retention_s: 1_000, records: first };
-    world.tell(0, Message::Records(Stream::Blocked, page));
-    assert!(!world.nodes[0].is_ready(), "one of two records is not all");
-    world.read(0, Stream::Blocked);
-    assert!(world.nodes[0].is_ready());
+    simulation.deliver(0, Message::Records(Stream::Blocked, page));
+    assert!(!simulation.nodes[0].is_ready(), "one of two records is not all");
+    simulation.read(0, Stream::Blocked);
+    assert!(simulation.nodes[0].is_ready());
 }
 
 #[test]
-fn ready_once_the_stream_of_blocked_requests_was_asked() {
-    let mut world = World::new(1, 1, Faults::default());
-    let mut node = world.nodes.remove(0);
+fn ready_once_blocked_stream_was_read_or_failed() {
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    let mut node = simulation.nodes.remove(0);
     node.readings.remove(&Stream::Blocked);
     for id in ["engine-0", "engine-1"] {
         let server = node.membership.find(id).expect("it is listed");
-        node.apply(world.now, Message::Polled(server, Box::new(report("one", "v1"))));
+        node.apply(simulation.now, Message::Polled(server, Box::new(report("one", "v1"))));
     }
     assert!(!node.is_ready(), "its first read has neither come nor failed");
-    node.apply(world.now, Message::LogDown(Stream::Blocked));
+    node.apply(simulation.now, Message::LogDown(Stream::Blocked));
     assert!(node.is_ready());
 }
 
 #[test]
 fn drain_waits_for_requests_and_outcomes() {
-    let mut world = World::new(1, 1, Faults::default());
-    world.pay(0, Some("k"));
-    world.tell(0, Message::Stop);
-    assert!(world.nodes[0].is_draining() && !world.nodes[0].is_ready());
-    assert!(!world.nodes[0].is_drained());
-    world.quiet();
-    assert!(world.nodes[0].is_drained());
-    assert_eq!(world.runs.len(), 1, "the request was not cut");
+    let mut simulation = Simulation::new(1, 1, Faults::default());
+    simulation.send_payment(0, Some("k"));
+    simulation.deliver(0, Message::Stop);
+    assert!(simulation.nodes[0].is_draining() && !simulation.nodes[0].is_ready());
+    assert!(!simulation.nodes[0].is_drained());
+    simulation.settle();
+    assert!(simulation.nodes[0].is_drained());
+    assert_eq!(simulation.runs.len(), 1, "the request was not cut");
 }
 
 /// Number asked for, next number, and events: number, whether stored, block.
-type AnyReport = (u64, u64, Vec<(u64, bool, u8)>);
+type ReportParts = (u64, u64, Vec<(u64, bool, u8)>);
 
 quickcheck::quickcheck! {
     /// Reports with any events, in any order, never panic, and hold no more than they named.
-    fn report_any_events(reports: Vec<AnyReport>) -> bool {
-        let mut bench = Bench::new();
-        let mut named = 0;
+    fn report_any_events(reports: Vec<ReportParts>) -> bool {
+        let mut fixture = Fixture::new();
+        let mut named_count = 0;
         for (from, next_seq, events) in reports {
-            named += events.len();
+            named_count += events.len();
             let event = |(seq, stored, block): (u64, bool, u8)| CacheEvent {
                 seq,
                 change: if stored { Change::Stored } else { Change::Evicted },
                 block: block.into(),
             };
             let events = events.into_iter().map(event).collect();
-            bench.polled("engine-0", crate::membership::Report {
+            fixture.deliver_report("engine-0", crate::membership::Report {
                 from,
                 next_seq,
                 events,
@@ -535,7 +550,7 @@
                 ..report("one", "v1")
             });
         }
-        let (_, effects) = bench.ask("w", "v1");
-        bench.world.nodes[0].residency.len() <= named + 8 && dispatched(&effects).is_some()
+        let (_, effects) = fixture.send_request("w", "v1");
+        fixture.simulation.nodes[0].residency.len() <= named_count + 8 && find_dispatch(&effects).is_some()
     }
 }
--- a/src/control/tests/world.rs
+++ b/src/control/tests/simulation.rs
@@ -31,9 +31,9 @@
 
 /// Something that will happen.
 #[derive(Debug, Clone)]
-pub enum Action {
+pub enum PendingAction {
     /// A record lands on the log.
-    Land(Stream, String),
+    Append(Stream, String),
     /// A message reaches a node, if the incarnation still runs.
     Deliver(usize, u64, Box<Message>),
     /// A dispatched request reaches the service.
@@ -44,29 +44,29 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     /// An append is refused, or lost, or lands late.
-    pub append: u32,
+    pub append_percent: u32,
     /// A run's answer is lost, or the request never leaves.
-    pub run: u32,
+    pub run_percent: u32,
     /// A frame is lost.
-    pub frame: u32,
+    pub frame_percent: u32,
     /// A node is killed and started again, each step in a thousand.
-    pub kill: u32,
+    pub restart_per_mille: u32,
     /// A node does not run for a while, each step in a thousand.
-    pub pause: u32,
+    pub pause_per_mille: u32,
 }
 
-pub struct World {
+pub struct Simulation {
     pub rng: fastrand::Rng,
     pub now: Time,
     pub nodes: Vec<Node>,
     pub incarnations: Vec<u64>,
     pub paused_until: Vec<Time>,
     pub log: BTreeMap<Stream, Vec<Record>>,
-    pub actions: Vec<Action>,
+    pub pending: Vec<PendingAction>,
     pub faults: Faults,
     pub log_down: bool,
     /// The key of every request, by request.
-    pub asked: BTreeMap<attempt::Key, String>,
+    pub keys_by_request: BTreeMap<attempt::Key, String>,
     pub answers: BTreeMap<attempt::Key, Answer>,
     /// The requests that ran, in order, with their keys.
     pub runs: Vec<(attempt::Key, String)>,
@@ -111,7 +111,7 @@
     manifest::Record { format: manifest::FORMAT, id: id.into(), body }.encode()
 }
 
-fn vm(id: String, role: Role, pool: &str, address: SocketAddr) -> Vm {
+fn live_vm(id: String, role: Role, pool: &str, address: SocketAddr) -> Vm {
     Vm {
         id,
         role,
@@ -123,10 +123,10 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// A world of `count` nodes that have read the manifest and the VM list.
     pub fn new(seed: u64, count: usize, faults: Faults) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             rng: fastrand::Rng::with_seed(seed),
             now: Time::from_secs(1),
             nodes: Vec::new(),
@@ -138,10 +138,10 @@
                 (Stream::Lease, Vec::new()),
                 (Stream::Blocked, Vec::new()),
             ]),
-            actions: Vec::new(),
+            pending: Vec::new(),
             faults,
             log_down: false,
-            asked: BTreeMap::new(),
+            keys_by_request: BTreeMap::new(),
             answers: BTreeMap::new(),
             runs: Vec::new(),
             generations: vec![Vec::new(); count],
@@ -149,13 +149,14 @@
             orders: Vec::new(),
             next_request: 0,
         };
-        world.land(Stream::Manifest, publish_record("first", 0, manifest_value("v1")));
+        simulation
+            .append_record(Stream::Manifest, publish_record("first", 0, manifest_value("v1")));
         for index in 0..count {
-            let node = world.new_node(index);
-            world.nodes.push(node);
-            world.boot(index);
+            let node = simulation.new_node(index);
+            simulation.nodes.push(node);
+            simulation.boot(index);
         }
-        world
+        simulation
     }
 
     fn new_node(&self, index: usize) -> Node {
@@ -169,7 +170,7 @@
 
     /// What a node learns right after its start.
     pub fn boot(&mut self, index: usize) {
-        self.tell(index, Message::VmList(self.vms()));
+        self.deliver(index, Message::VmList(self.vms()));
         self.read(index, Stream::Manifest);
         self.read(index, Stream::Ledger);
         self.read(index, Stream::Lease);
@@ -178,15 +179,15 @@
 
     pub fn vms(&self) -> Vec<Vm> {
         let routers = (0..self.incarnations.len())
-            .map(|index| vm(format!("router-{index}"), Role::Router, "", address(index)));
-        let service = vm("service".into(), Role::ServiceServer, "service", address(100));
+            .map(|index| live_vm(format!("router-{index}"), Role::Router, "", address(index)));
+        let service = live_vm("service".into(), Role::ServiceServer, "service", address(100));
         let engines = (0..2).map(|index| {
-            vm(format!("engine-{index}"), Role::ModelServer, "model", address(200 + index))
+            live_vm(format!("engine-{index}"), Role::ModelServer, "model", address(200 + index))
         });
         routers.chain([service]).chain(engines).collect()
     }
 
-    pub fn land(&mut self, stream: Stream, text: String) {
+    pub fn append_record(&mut self, stream: Stream, text: String) {
         let time_ms = self.now.as_millis() as u64;
         let records = self.log.entry(stream).or_default();
         records.push(Record { offset: records.len() as u64, time_ms, text });
@@ -194,121 +195,128 @@
 
     pub fn read(&mut self, index: usize, stream: Stream) {
         if self.log_down {
-            return self.tell(index, Message::LogDown(stream));
+            return self.deliver(index, Message::LogDown(stream));
         }
         let from = self.nodes[index].next_offset(stream) as usize;
         let records = &self.log[&stream];
-        let some = if from < records.len() { self.rng.usize(1..=records.len() - from) } else { 0 };
+        let count = if from < records.len() { self.rng.usize(1..=records.len() - from) } else { 0 };
         let read = Read {
             first: 0,
             next: records.len() as u64,
             retention_s: RETENTION_S,
-            records: records.iter().skip(from).take(some).cloned().collect(),
+            records: records.iter().skip(from).take(count).cloned().collect(),
         };
-        self.tell(index, Message::Records(stream, read));
+        self.deliver(index, Message::Records(stream, read));
     }
 
-    pub fn tell(&mut self, index: usize, message: Message) {
+    pub fn deliver(&mut self, index: usize, message: Message) {
         let effects = self.nodes[index].apply(self.now, message);
         for effect in effects {
-            self.take(index, effect);
+            self.apply_effect(index, effect);
         }
     }
 
     /// Ticks of all nodes, each round's messages delivered between them, and nothing read.
-    pub fn exchange(&mut self, rounds: usize) {
+    pub fn exchange_messages(&mut self, rounds: usize) {
         for _ in 0..rounds {
             for index in 0..self.nodes.len() {
-                self.tell(index, Message::Tick);
+                self.deliver(index, Message::Tick);
             }
-            for action in std::mem::take(&mut self.actions) {
-                if let Action::Deliver(index, _, message) = action {
-                    self.tell(index, *message);
+            for action in std::mem::take(&mut self.pending) {
+                if let PendingAction::Deliver(index, _, message) = action {
+                    self.deliver(index, *message);
                 }
             }
             self.now += Duration::from_millis(100);
         }
     }
 
-    fn chance(&mut self, in_hundred: u32) -> bool {
-        self.rng.u32(0..100) < in_hundred
+    fn draw_fault(&mut self, percent: u32) -> bool {
+        self.rng.u32(0..100) < percent
     }
 
-    fn later(&mut self, index: usize, message: Message) {
+    fn schedule_message(&mut self, index: usize, message: Message) {
         let incarnation = self.incarnations[index];
-        self.actions.push(Action::Deliver(index, incarnation, Box::new(message)));
+        self.pending.push(PendingAction::Deliver(index, incarnation, Box::new(message)));
     }
 
-    fn take(&mut self, index: usize, effect: Effect) {
+    fn apply_effect(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Command(request, command) => self.command(index, request, *command),
-            Effect::Append { number, text } => self.append(index, number, text),
-            Effect::AppendLease(text) => self.land(Stream::Lease, text),
+            Effect::Command(request, command) => self.apply_command(index, request, *command),
+            Effect::Append { number, text } => self.append_to_ledger(index, number, text),
+            Effect::AppendLease(text) => self.append_record(Stream::Lease, text),
             Effect::Order { server, order, .. } => self.orders.push((index, server, order)),
             Effect::Checkpoint(text) => {
-                self.actions.push(Action::Land(Stream::Manifest, text));
-                self.later(index, Message::Checkpointed);
+                self.pending.push(PendingAction::Append(Stream::Manifest, text));
+                self.schedule_message(index, Message::Checkpointed);
             }
             Effect::UseManifest(force) => self.generations[index].push(force.generation),
-            Effect::Poll { server, .. } => self.later(index, Message::PollFailed(server)),
-            Effect::AppendBlocked(text) => self.land(Stream::Blocked, text),
+            Effect::Poll { server, .. } => {
+                self.schedule_message(index, Message::PollFailed(server))
+            }
+            Effect::AppendBlocked(text) => self.append_record(Stream::Blocked, text),
             // No server ends here: answers are lost.
-            Effect::Probe(victim, _) => {
-                self.later(index, Message::Probed(victim, poison::Answer::Accepted))
+            Effect::Probe(incarnation, _) => {
+                self.schedule_message(index, Message::Probed(incarnation, poison::Answer::Accepted))
             }
             Effect::Send(to, frame) => {
                 let peer = usize::from(to.port()) - 1_000;
-                if !self.chance(self.faults.frame) {
-                    self.later(peer, Message::Frame(frame));
+                if !self.draw_fault(self.faults.frame_percent) {
+                    self.schedule_message(peer, Message::Frame(frame));
                 }
             }
             Effect::Event(event, _) => self.events.push((index, event)),
         }
     }
 
-    fn append(&mut self, index: usize, number: u64, text: String) {
-        let fails = self.log_down || self.chance(self.faults.append);
-        let fate = if fails { self.rng.u32(1..=4) } else { 0 };
-        let result = match fate {
+    fn append_to_ledger(&mut self, index: usize, number: u64, text: String) {
+        let fails = self.log_down || self.draw_fault(self.faults.append_percent);
+        let fault = if fails { self.rng.u32(1..=4) } else { 0 };
+        let result = match fault {
             0 => AppendResult::Written,
             1 => AppendResult::Refused,
             _ => AppendResult::Unknown,
         };
-        match fate {
+        match fault {
             // Written, and its answer lost.
-            0 | 2 => self.land(Stream::Ledger, text),
+            0 | 2 => self.append_record(Stream::Ledger, text),
             // Lands at some later time, or never.
-            3 => self.actions.push(Action::Land(Stream::Ledger, text)),
+            3 => self.pending.push(PendingAction::Append(Stream::Ledger, text)),
             _ => {}
         }
-        self.later(index, Message::Appended { number, result });
+        self.schedule_message(index, Message::Appended { number, result });
     }
 
-    fn command(&mut self, index: usize, request: attempt::Key, command: Command) {
+    fn apply_command(&mut self, index: usize, request: attempt::Key, command: Command) {
         let incarnation = self.incarnations[index];
         match command {
             Command::Dispatch(dispatch) => {
-                self.actions.push(Action::Run(index, incarnation, request, Box::new(dispatch)));
+                self.pending.push(PendingAction::Run(
+                    index,
+                    incarnation,
+                    request,
+                    Box::new(dispatch),
+                ));
             }
             Command::Abort(_) => {}
             Command::Refuse(refusal) => {
                 let answer = Answer::Refused(refusal.error.code, refusal.execution);
-                self.answered(request, answer);
+                self.record_answer(request, answer);
             }
-            Command::Replay(receipt) => self.answered(request, Answer::Replay(receipt)),
+            Command::Replay(receipt) => self.record_answer(request, Answer::Replay(receipt)),
         }
     }
 
-    fn answered(&mut self, request: attempt::Key, answer: Answer) {
-        let before = self.answers.insert(request, answer);
-        assert_eq!(before, None, "{request:?} was answered twice");
+    fn record_answer(&mut self, request: attempt::Key, answer: Answer) {
+        let previous = self.answers.insert(request, answer);
+        assert_eq!(previous, None, "{request:?} was answered twice");
     }
 
     /// A payment with this key arrives at a node.
-    pub fn pay(&mut self, index: usize, key: Option<&str>) -> attempt::Key {
+    pub fn send_payment(&mut self, index: usize, key: Option<&str>) -> attempt::Key {
         let request = attempt::Key(self.next_request);
         self.next_request += 1;
-        self.asked.insert(request, key.unwrap_or_default().to_owned());
+        self.keys_by_request.insert(request, key.unwrap_or_default().to_owned());
         let claim = key.map(|key| ledger::Ask {
             key: ledger::Key { workspace: "w".into(), service: "pay".into(), key: key.into() },
             digest: "digest".into(),
@@ -329,7 +337,7 @@
             fingerprint: Fingerprint(request.0),
             claim,
         };
-        self.tell(index, Message::Arrive(Box::new(arrival)));
+        self.deliver(index, Message::Arrive(Box::new(arrival)));
         request
     }
 
@@ -337,17 +345,17 @@
     pub fn step(&mut self) {
         self.now += Duration::from_millis(self.rng.u64(0..20));
         let index = self.rng.usize(0..self.nodes.len());
-        if self.rng.u32(0..1_000) < self.faults.kill {
-            return self.kill(index);
+        if self.rng.u32(0..1_000) < self.faults.restart_per_mille {
+            return self.restart(index);
         }
-        if self.rng.u32(0..1_000) < self.faults.pause {
+        if self.rng.u32(0..1_000) < self.faults.pause_per_mille {
             self.paused_until[index] = self.now + Duration::from_millis(self.rng.u64(0..3_000));
         }
         match self.rng.u32(0..10) {
-            0 if !self.is_paused(index) => self.tell(index, Message::Tick),
+            0 if !self.is_paused(index) => self.deliver(index, Message::Tick),
             1 | 2 if !self.is_paused(index) => self.read(index, Stream::Ledger),
             3 if !self.is_paused(index) => self.read(index, Stream::Manifest),
-            _ => self.act(),
+            _ => self.perform_pending(),
         }
     }
 
@@ -356,101 +364,106 @@
     }
 
     /// Kills a node and starts it again at once, knowing nothing.
-    pub fn kill(&mut self, index: usize) {
+    pub fn restart(&mut self, index: usize) {
         self.incarnations[index] += 1;
         self.nodes[index] = self.new_node(index);
         self.generations[index].clear();
         self.boot(index);
     }
 
-    fn act(&mut self) {
-        if self.actions.is_empty() {
+    fn perform_pending(&mut self) {
+        if self.pending.is_empty() {
             return;
         }
-        let chosen = self.rng.usize(0..self.actions.len());
-        let action = self.actions.swap_remove(chosen);
+        let position = self.rng.usize(0..self.pending.len());
+        let action = self.pending.swap_remove(position);
         match action {
-            Action::Land(stream, text) => self.land(stream, text),
-            Action::Deliver(index, incarnation, message) => {
+            PendingAction::Append(stream, text) => self.append_record(stream, text),
+            PendingAction::Deliver(index, incarnation, message) => {
                 if self.is_paused(index) {
-                    return self.actions.push(Action::Deliver(index, incarnation, message));
+                    return self.pending.push(PendingAction::Deliver(index, incarnation, message));
                 }
                 if self.incarnations[index] == incarnation {
-                    self.tell(index, *message);
+                    self.deliver(index, *message);
                 }
             }
-            Action::Run(index, incarnation, request, dispatch) => {
+            PendingAction::Run(index, incarnation, request, dispatch) => {
                 if self.is_paused(index) {
-                    return self.actions.push(Action::Run(index, incarnation, request, dispatch));
+                    return self.pending.push(PendingAction::Run(
+                        index,
+                        incarnation,
+                        request,
+                        dispatch,
+                    ));
                 }
-                self.run(index, incarnation, request, &dispatch);
+                self.run_request(index, incarnation, request, &dispatch);
             }
         }
     }
 
     /// What traffic does with a dispatch: the deadline is looked at right before sending.
-    fn run(
+    fn run_request(
         &mut self,
         index: usize,
         incarnation: u64,
         request: attempt::Key,
         dispatch: &attempt::Dispatch,
     ) {
-        let lives = self.incarnations[index] == incarnation;
+        let is_running = self.incarnations[index] == incarnation;
         // A killed daemon's request may have left before, or not at all.
-        if !lives && self.rng.bool() {
+        if !is_running && self.rng.bool() {
             return;
         }
-        let fate = if self.chance(self.faults.run) { self.rng.u32(1..=3) } else { 0 };
-        let outcome = if lives && self.now >= dispatch.deadline {
+        let fault = if self.draw_fault(self.faults.run_percent) { self.rng.u32(1..=3) } else { 0 };
+        let outcome = if is_running && self.now >= dispatch.deadline {
             Outcome::Late
-        } else if fate == 1 {
+        } else if fault == 1 {
             Outcome::Unsent("fault".into())
         } else {
-            self.runs.push((request, self.asked[&request].clone()));
-            match fate {
-                0 => Outcome::Complete(Some(self.receipt())),
+            self.runs.push((request, self.keys_by_request[&request].clone()));
+            match fault {
+                0 => Outcome::Complete(Some(self.last_run_receipt())),
                 _ => Outcome::Broken("fault".into()),
             }
         };
-        if !lives {
+        if !is_running {
             return;
         }
         if let Outcome::Complete(_) = &outcome {
             let number = self.runs.len() as u64;
-            self.answered(request, Answer::Run(number));
+            self.record_answer(request, Answer::Run(number));
         }
         let report = Report::Ended(outcome);
-        self.tell(index, Message::Report { request, attempt: dispatch.attempt, report });
+        self.deliver(index, Message::Report { request, attempt: dispatch.attempt, report });
     }
 
-    fn receipt(&self) -> ledger::Receipt {
+    fn last_run_receipt(&self) -> ledger::Receipt {
         let run = self.runs.len();
         ledger::Receipt { status: 200, content_type: String::new(), body: Some(run.to_string()) }
     }
 
     /// Lets everything that is under way come to its end, without further faults.
-    pub fn quiet(&mut self) {
+    pub fn settle(&mut self) {
         self.faults = Faults::default();
         self.log_down = false;
         self.paused_until.fill(Time::ZERO);
         for _ in 0..40 {
             for index in 0..self.nodes.len() {
-                self.tell(index, Message::Tick);
+                self.deliver(index, Message::Tick);
                 self.read(index, Stream::Ledger);
                 self.read(index, Stream::Manifest);
                 self.read(index, Stream::Lease);
                 self.read(index, Stream::Blocked);
             }
-            for _ in 0..self.actions.len() {
-                self.act();
+            for _ in 0..self.pending.len() {
+                self.perform_pending();
             }
             self.now += Duration::from_millis(200);
         }
     }
 
     /// The key of the server with this id at a node.
-    pub fn server(&self, index: usize, id: &str) -> membership::Key {
+    pub fn server_key(&self, index: usize, id: &str) -> membership::Key {
         self.nodes[index].membership.find(id).expect("the server is listed")
     }
 }
