--- a/src/fleet/tests/beliefs/carriage.rs
+++ b/src/fleet/tests/beliefs/carriage.rs
@@ -59,9 +59,10 @@
         match stored {
             true if block.removed_at.is_some() => {
                 // It was under way when the block was taken away, or comes from who had not heard of that.
-                let of = format!("block {fingerprint} was written again after it was taken away");
+                let violation =
+                    format!("block {fingerprint} was written again after it was taken away");
                 if block.removed_at.is_some_and(|at| self.now > at + MAX_OWN_TOPIC_PROPAGATION) {
-                    self.violations.entry(Invariant::Block).or_insert(of);
+                    self.violations.entry(Invariant::Block).or_insert(violation);
                 }
                 (block.removed_at, block.stored_at) = (None, Some(self.now));
             }
@@ -194,8 +195,8 @@
                     let key = format!("blocked-{}", block.0);
                     self.append(vm, Append::Record(Topic::Routers, key, value));
                 }
-                Effect::Order { server, id, version, fence, expected_sequence: expect, .. } => {
-                    let end = self.handle_order(&id, version, fence, expect);
+                Effect::Order { server, id, version, fence, expected_sequence, .. } => {
+                    let end = self.handle_order(&id, version, fence, expected_sequence);
                     self.enqueue(
                         vm,
                         ms(10),
@@ -212,10 +213,14 @@
                     });
                     self.enqueue(vm, ms(10), Payload::from_message(Message::Polled(server, state)));
                 }
-                Effect::Probe(victim, at) => {
+                Effect::Probe(incarnation, at) => {
                     let up = self.servers.iter().any(|s| s.is_up && address(s.last_octet) == at);
                     let answer = if up { Answer::Accepted } else { Answer::Refused };
-                    self.enqueue(vm, ms(5), Payload::from_message(Message::Probed(victim, answer)));
+                    self.enqueue(
+                        vm,
+                        ms(5),
+                        Payload::from_message(Message::Probed(incarnation, answer)),
+                    );
                 }
                 Effect::Command(..)
                 | Effect::ReadEvents { .. }
@@ -263,7 +268,7 @@
         id: &str,
         version: u64,
         fence: u64,
-        expect: u64,
+        expected_sequence: u64,
     ) -> OrderEnd {
         let at = self.now + ms(self.rng.u64(450..700));
         let found = self.servers.iter_mut().find(|server| server.id == id && server.is_up);
@@ -275,7 +280,7 @@
         if server.version >= version {
             return OrderEnd::Held;
         }
-        if server.loading.is_some() || server.sequence != expect {
+        if server.loading.is_some() || server.sequence != expected_sequence {
             return OrderEnd::Conflict;
         }
         server.sequence += 1;
@@ -286,8 +291,8 @@
     /// Callers ask, at any daemon that says that it is ready.
     pub(super) fn send_request(&mut self) {
         let vm = self.rng.usize(0..self.vms.len());
-        let awake = self.now >= self.vms[vm].frozen_until;
-        if self.rng.bool() || !awake || !self.node(vm).is_some_and(Node::is_ready) {
+        let is_awake = self.now >= self.vms[vm].frozen_until;
+        if self.rng.bool() || !is_awake || !self.node(vm).is_some_and(Node::is_ready) {
             return;
         }
         let pool = if self.rng.bool() { "engines" } else { "plain" };
@@ -307,12 +312,12 @@
                 self.check_weights_age(vm, version, "is sent to");
             }
             let known = self.store.newest(Topic::Servers);
-            let left = known.get(dispatch.server.as_str()).filter(|(at, record)| {
+            let known_drain = known.get(dispatch.server.as_str()).filter(|(at, record)| {
                 let value = record.value.as_deref().map(String::from_utf8_lossy);
                 self.now > *at + MAX_PROPAGATION
                     && value.is_some_and(|value| value.contains("draining"))
             });
-            if left.is_some() && !self.is_slowed(vm) {
+            if known_drain.is_some() && !self.is_slowed(vm) {
                 self.report_violation(
                     vm,
                     Invariant::Server,
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -79,8 +79,8 @@
     pub(super) fn check_weights(&mut self, vm: usize) {
         let versions: BTreeSet<u64> = self.servers.iter().map(|server| server.version).collect();
         for version in versions {
-            let may = |node: &Node| node.is_version_allowed(self.now, "m", version);
-            if self.node(vm).is_some_and(may) {
+            let is_allowed = |node: &Node| node.is_version_allowed(self.now, "m", version);
+            if self.node(vm).is_some_and(is_allowed) {
                 self.check_weights_age(vm, version, "may begin on");
             }
         }
@@ -139,8 +139,9 @@
                     violations.push(format!("{fingerprint} is not blocked"));
                 }
                 (None, None) if long_ago(block.created_at) && !is_blocked => {
-                    let (by, incarnation) = block.detected_by;
-                    if self.vms[by].incarnation == incarnation && self.is_recovered(by) {
+                    let (detector, incarnation) = block.detected_by;
+                    if self.vms[detector].incarnation == incarnation && self.is_recovered(detector)
+                    {
                         violations.push(format!("{fingerprint} is not blocked, but at a peer"));
                     }
                 }
@@ -156,10 +157,10 @@
     pub(super) fn check_budget(&mut self) {
         let ready_vms: Vec<usize> =
             (0..self.vms.len()).filter(|vm| self.is_up_to_date(*vm)).collect();
-        let left = |vm: &usize| {
+        let remaining = |vm: &usize| {
             Some(Budget::default().remaining(self.now, self.node(*vm)?.retry_terms(self.now)) as f64)
         };
-        let taken: f64 = ready_vms.iter().filter_map(left).sum();
+        let taken: f64 = ready_vms.iter().filter_map(remaining).sum();
         if let Some(first) = ready_vms.first().filter(|_| taken > POLICY.retry_slack) {
             self.report_violation(
                 *first,
--- a/src/fleet/tests/beliefs/faults.rs
+++ b/src/fleet/tests/beliefs/faults.rs
@@ -52,9 +52,9 @@
 
     pub(super) fn kill_daemons(&mut self, vms: &[usize]) {
         for vm in vms {
-            let back = self.now + ms(self.rng.u64(20..800));
+            let restart_at = self.now + ms(self.rng.u64(20..800));
             let vm = &mut self.vms[*vm];
-            (vm.daemon, vm.starts_at, vm.frozen_until) = (None, back, Time::ZERO);
+            (vm.daemon, vm.starts_at, vm.frozen_until) = (None, restart_at, Time::ZERO);
         }
     }
 
@@ -70,15 +70,15 @@
             Access::Refused => 2,
             Access::Silent => 3,
         };
-        let of = self.faults.iter().filter_map(|(_, of, fault)| match fault {
-            Fault::Store(access) if *of == vm => Some(*access),
+        let accesses = self.faults.iter().filter_map(|(_, faulty, fault)| match fault {
+            Fault::Store(access) if *faulty == vm => Some(*access),
             _ => None,
         });
-        of.max_by_key(severity).unwrap_or(Access::Open)
+        accesses.max_by_key(severity).unwrap_or(Access::Open)
     }
 
     pub(super) fn has_fault(&self, vm: usize, fault: Fault) -> bool {
-        self.faults.iter().any(|(_, of, is)| *of == vm && *is == fault)
+        self.faults.iter().any(|(_, faulty, active)| *faulty == vm && *active == fault)
     }
 
     /// Operators and servers change something, and often daemons end at that very moment.
@@ -131,23 +131,23 @@
     }
 
     pub(super) fn change_server(&mut self) {
-        let (now, back) = (self.now, self.now + ms(self.rng.u64(300..4_000)));
+        let (now, restart_at) = (self.now, self.now + ms(self.rng.u64(300..4_000)));
         let index = self.rng.usize(0..self.servers.len());
         let newest = self.weights_versions.last().map_or(1, |(version, _)| *version);
-        let ends = self.rng.u32(0..3);
+        let kind = self.rng.u32(0..3);
         let Some(server) =
             self.servers.get_mut(index).filter(|server| server.is_up && !server.draining)
         else {
             return;
         };
-        match ends {
+        match kind {
             // It leaves, and another comes in its place.
             0 => {
                 server.draining = true;
                 self.store.append(now, Topic::Servers, &server.id, &server.value());
                 let id = format!("{}+", server.id);
                 let (last_octet, is_engine) = (server.last_octet, server.is_engine);
-                (server.expires_at, server.starts_at) = (Some(back), Time::MAX);
+                (server.expires_at, server.starts_at) = (Some(restart_at), Time::MAX);
                 self.servers.push(Backend {
                     id,
                     is_engine,
@@ -156,7 +156,7 @@
                     version: newest,
                     draining: false,
                     is_up: false,
-                    starts_at: back + ms(100),
+                    starts_at: restart_at + ms(100),
                     register_at: None,
                     expires_at: None,
                     loading: None,
@@ -166,17 +166,17 @@
             }
             _ => {
                 (server.is_up, server.loading) = (false, None);
-                (server.starts_at, server.expires_at) = (back, Some(now + REGISTRATION_TTL));
+                (server.starts_at, server.expires_at) = (restart_at, Some(now + REGISTRATION_TTL));
             }
         }
     }
 
     pub(super) fn change_block(&mut self) {
-        let kept = self
+        let stored = self
             .blocks
             .iter()
             .find(|(_, block)| block.stored_at.is_some() && block.removed_at.is_none());
-        if let Some((block, _)) = kept.filter(|_| self.rng.bool()) {
+        if let Some((block, _)) = stored.filter(|_| self.rng.bool()) {
             let block = *block;
             self.store.append(self.now, Topic::Routers, &format!("blocked-{block}"), "");
             self.blocks.entry(block).and_modify(|block| block.removed_at = Some(self.now));
