--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to an arrival: grants, priority, deadline, prefix.
+//! Turns a caller's request into an arrival: grants, priority, deadline and prefix.
 
 use http_types::headers::Headers;
 use xxhash_rust::xxh3::xxh3_64;
@@ -17,7 +17,7 @@
 const MAX_LEVELS: usize = 16;
 const MAX_KEY_BYTES: usize = 255;
 
-/// What a request's optional headers ask for.
+/// Options from a request's optional headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Options {
     priority: Option<Priority>,
@@ -26,7 +26,7 @@
 }
 
 impl Options {
-    /// Reads the optional headers; a value that is not allowed is an error.
+    /// Parses the optional headers; an invalid value is an error.
     pub(super) fn read(headers: &Headers) -> Result<Self> {
         let priority = header::single(headers, header::PRIORITY)?
             .map(|name| {
@@ -65,7 +65,7 @@
 }
 
 fn invalid_header(name: &str, allowed: &str) -> Error {
-    Error::new(Code::HeaderInvalid, format!("{name}: give {allowed}"))
+    Error::new(Code::HeaderInvalid, format!("{name}: expected {allowed}"))
 }
 
 fn workspace<'a>(force: &'a Force, name: &str) -> Result<&'a Workspace> {
@@ -76,7 +76,7 @@
     options.priority.unwrap_or(workspace.default_priority).max(workspace.highest_priority)
 }
 
-/// The model of this name, if the workspace is granted it.
+/// Finds a model by name and checks that the workspace may use it.
 pub(super) fn granted_model<'a>(
     force: &'a Force,
     workspace_name: &str,
@@ -91,7 +91,7 @@
 }
 
 impl Entry {
-    /// The arrival of a completion.
+    /// Builds the arrival of a completion.
     pub(super) fn completion_arrival(
         &self,
         force: &Force,
@@ -138,7 +138,7 @@
         })
     }
 
-    /// The arrival of a call of `service`, whose path within the service is `path`.
+    /// Builds the arrival of a call to service `name`; `path` is relative to the service.
     pub(super) fn service_arrival(&self, call: &Call, name: &str, path: &str) -> Result<Arrival> {
         let headers: &Headers = call.whole.request.as_ref();
         let options = Options::read(headers)?;
@@ -188,7 +188,7 @@
     }
 }
 
-/// The idempotency key; a quoted string as in the IETF draft, or bare.
+/// Parses the idempotency key: a quoted string, as in the IETF draft, or a bare one.
 fn idempotency_key(headers: &Headers) -> Result<Option<String>> {
     let Some(value) = header::single(headers, header::IDEMPOTENCY_KEY)? else {
         return Ok(None);
@@ -208,12 +208,12 @@
     manifest::digest(&bytes)
 }
 
-/// A short id for one request, shown to callers and engines.
+/// Formats the id under which callers and engines see a request.
 pub(super) fn request_id(daemon: &str, incarnation: u64, request: crate::attempt::Key) -> String {
     format!("{:016x}-{:x}", xxh3_64(daemon.as_bytes()) ^ incarnation, request.0)
 }
 
-/// An operator's query where a completion would go.
+/// An operator's query for the placement of a hypothetical completion.
 #[derive(Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Query {
@@ -227,7 +227,7 @@
 }
 
 impl Entry {
-    /// The arrival that an operator's query is about; nothing is run for it.
+    /// Builds the arrival that an operator's query describes, without dispatching it.
     pub fn parse_query(&self, body: &[u8]) -> Result<Arrival> {
         let query: Query = serde_json::from_slice(body)
             .map_err(|error| Error::new(Code::MalformedRequest, error.to_string()))?;
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -1,4 +1,4 @@
-//! Callers' open connections: counted against the limit, and looked at when the daemon stops.
+//! Tracks callers' open connections, for the connection limit and for draining.
 
 use std::sync::Mutex;
 
@@ -11,14 +11,14 @@
     open: BTreeMap<u64, Socket>,
 }
 
-/// All open connections of callers.
+/// Table of callers' open connections.
 #[derive(Debug)]
 pub struct Connections {
     limit: usize,
     table: Mutex<Table>,
 }
 
-/// Removes its connection from the table when dropped.
+/// Registration of a connection; dropping it removes the connection from the table.
 pub struct Guard {
     connections: Arc<Connections>,
     number: u64,
@@ -33,12 +33,12 @@
 }
 
 impl Connections {
-    /// An empty table of at most `limit` connections.
+    /// Creates an empty table for up to `limit` connections.
     pub fn new(limit: u32) -> Self {
         Self { limit: limit as usize, table: Mutex::default() }
     }
 
-    /// Adds a connection; `None` where the table is full.
+    /// Adds a connection, or returns `None` when the table is full.
     pub fn add(self: &Arc<Self>, socket: Socket) -> Option<Guard> {
         let mut table = self.table.lock().ok()?;
         if table.open.len() >= self.limit {
@@ -50,7 +50,7 @@
         Some(Guard { connections: Arc::clone(self), number })
     }
 
-    /// Whether any connection has a request that is not wholly answered.
+    /// Returns whether any connection has a request that is not fully answered.
     pub fn is_busy(&self) -> bool {
         self.table.lock().is_ok_and(|table| table.open.values().any(Socket::has_bytes))
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: callers' HTTP requests, from the connection to the last byte of the answer.
+//! Serves callers' HTTP requests, from the connection to the last byte of the answer.
 
 mod answer;
 mod arrival;
@@ -29,10 +29,10 @@
 use crate::telemetry::metrics::Metrics;
 use crate::telemetry::trace::Hop;
 
-/// Time for a refused connection to end.
+/// Time allowed for a refused connection to close.
 const REFUSAL_LINGER: Duration = Duration::from_secs(1);
 
-/// Serves callers.
+/// The listener side of a daemon: authenticates, routes and answers callers' requests.
 #[derive(Debug)]
 pub struct Entry {
     id: String,
@@ -44,7 +44,7 @@
     incarnation: u64,
 }
 
-/// One caller's request, with what all paths need of it.
+/// One caller's request, with the context that all routes need.
 struct Call {
     whole: Whole,
     force: Arc<Force>,
@@ -63,7 +63,7 @@
 }
 
 impl Entry {
-    /// An entry that hands its requests to `control`.
+    /// Creates an entry that hands its requests to `control`.
     pub fn new(
         settings: &Settings,
         control: Control,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Serves a new connection, or refuses it where there are too many.
+    /// Serves a new connection, or refuses it when the connection limit is reached.
     pub fn serve_connection(
         self: &Arc<Self>,
         stream: Async<TcpStream>,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The workspace that the request's bearer key belongs to.
+    /// Finds the workspace that owns the request's bearer key.
     fn authenticate(&self, request: &Request) -> Result<(String, Arc<Force>)> {
         let force = self.control.force().ok_or(Code::NoManifest)?;
         let value = header::single(request.as_ref(), "authorization")?.ok_or(Code::MissingKey)?;
@@ -167,7 +167,7 @@
     }
 }
 
-/// Answers a connection that is one too many, whatever it asks.
+/// Refuses a connection over the limit, whatever it requests.
 async fn refuse_connection(mut socket: Socket) {
     let row = Code::TooManyConnections.row();
     let refusal = Code::TooManyConnections.into();
@@ -186,7 +186,7 @@
     let linger = async {
         socket.write_all(text.as_bytes()).await?;
         socket.close().await?;
-        // What the caller still sends is read, or a reset could overtake the answer.
+        // Drains what the caller still sends; otherwise a TCP reset could discard the answer.
         futures_lite::io::copy(&mut socket, &mut futures_lite::io::sink()).await
     };
     let end = async {
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -1,4 +1,4 @@
-//! Completions: streamed as they come, or gathered into one JSON answer.
+//! Serves completions, as an event stream or as one JSON answer.
 
 use async_channel::Receiver;
 use futures_lite::StreamExt;
@@ -17,7 +17,7 @@
 use crate::prefix;
 use crate::prelude::*;
 
-/// Chunks that may wait for a slow caller.
+/// Answer parts buffered for a slow caller.
 const MAX_QUEUED_PIECES: usize = 16;
 
 impl Entry {
@@ -32,7 +32,7 @@
         let server = match pieces.recv().await {
             Ok(Piece::Begin(server)) => server,
             Ok(Piece::Failed(refusal)) => return self.refuse(&workspace, &name, refusal),
-            // A complete answer without a single chunk is still an answer.
+            // An answer without chunks is valid.
             Ok(Piece::End) => return self.build_answer(&completion, &id, "", None, ""),
             _ => return self.refuse(&workspace, &name, Code::GenerationFailed.into()),
         };
@@ -57,7 +57,8 @@
         Ok((completion, arrival))
     }
 
-    /// Hands a completion over to control and to a pump; its id, and the pieces of its answer.
+    /// Submits a completion to control and spawns its pump. Returns the request id and the answer's
+    /// pieces.
     fn start_completion(
         self: &Arc<Self>,
         call: Call,
@@ -94,7 +95,7 @@
         self.refusal_answer(&refusal)
     }
 
-    /// A server-sent event stream of the pieces; it ends with `[DONE]` or with an error event.
+    /// Streams the pieces as server-sent events; the last is `[DONE]` or an error event.
     async fn stream_answer(
         &self,
         workspace: &str,
@@ -202,7 +203,7 @@
     }
 }
 
-/// One piece as an event, and whether it is the last.
+/// Encodes a piece as a server-sent event; the flag marks the last one.
 fn encode_event(piece: Option<Piece>) -> (String, bool) {
     match piece {
         Some(Piece::Chunk(data)) => (format!("data: {data}\n\n"), false),
--- a/src/entry/openai.rs
+++ b/src/entry/openai.rs
@@ -1,10 +1,10 @@
-//! The shapes of OpenAI-style requests and answers, as far as the router reads them.
+//! The parts of OpenAI-style requests and answers that the router reads.
 
 use serde_json::{Value, json};
 
 use crate::prelude::*;
 
-/// Which of the two kinds of completion a request asks for.
+/// Kind of completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// `/v1/completions`.
@@ -14,7 +14,7 @@
 }
 
 impl Kind {
-    /// The kind that is served at `path`.
+    /// Returns the kind served at `path`.
     pub fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/completions" => Some(Self::Text),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The path at which it is served.
+    /// Returns the path that serves this kind.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Text => "/v1/completions",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The `object` of a whole answer.
+    /// Returns the `object` field of a non-streamed answer.
     const fn object(self) -> &'static str {
         match self {
             Self::Text => "text_completion",
@@ -40,28 +40,28 @@
     }
 }
 
-/// Answer tokens assumed where a request does not say.
+/// Token limit of an answer when the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// What the router reads of a request's body.
+/// A completion request's body, with the fields that the router uses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Completion {
-    /// Which kind is asked for.
+    /// Kind of completion requested.
     pub kind: Kind,
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// All prompt text, in order.
+    /// Prompt text, with messages in order.
     pub prompt: String,
-    /// Whether the answer is to be streamed.
+    /// Whether the caller requests a streamed answer.
     pub stream: bool,
-    /// Most answer tokens.
+    /// Maximum number of answer tokens.
     pub max_tokens: u32,
-    /// The whole body.
+    /// The complete body.
     pub body: Value,
 }
 
 impl Completion {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// ```
     /// use cardamomvalve::entry::openai::{Completion, Kind};
@@ -85,7 +85,7 @@
         };
         let choices = body.get("n").unwrap_or(&Value::Null);
         if !(choices.is_null() || choices == &json!(1)) {
-            return Err(malformed("n: only 1 choice is served".into()));
+            return Err(malformed("n: only 1 is supported".into()));
         }
         let max_tokens = match body.get("max_tokens").or(body.get("max_completion_tokens")) {
             None | Some(Value::Null) => DEFAULT_MAX_TOKENS,
@@ -93,13 +93,15 @@
                 .as_u64()
                 .and_then(|count| u32::try_from(count).ok())
                 .filter(|count| *count > 0)
-                .ok_or_else(|| malformed("max_tokens: a number from 1 is required".into()))?,
+                .ok_or_else(|| {
+                    malformed("max_tokens: a positive 32-bit integer is required".into())
+                })?,
         };
         Ok(Self { kind, model, prompt, stream, max_tokens, body })
     }
 }
 
-/// All prompt text of a body, in order; engines and routers cut blocks from the same text.
+/// Extracts a body's prompt text; engines and routers must split the same text into blocks.
 pub fn prompt(kind: Kind, body: &Value) -> Result<String, String> {
     match kind {
         Kind::Text => body
@@ -116,7 +118,7 @@
         .get("messages")
         .and_then(Value::as_array)
         .filter(|messages| !messages.is_empty())
-        .ok_or("messages: a list of at least one message is required")?;
+        .ok_or("messages: a non-empty list is required")?;
     let mut prompt = String::new();
     for (index, message) in messages.iter().enumerate() {
         let field = |name: &str| {
@@ -133,7 +135,7 @@
     Ok(prompt)
 }
 
-/// The text that one streamed chunk adds.
+/// Returns the text that a streamed chunk adds.
 pub fn chunk_text(kind: Kind, chunk: &Value) -> &str {
     let choice = &chunk["choices"][0];
     let text = match kind {
@@ -143,7 +145,7 @@
     text.as_str().unwrap_or_default()
 }
 
-/// A whole answer, made of all chunks of a stream.
+/// Builds a non-streamed answer from a stream's joined text and its last chunk.
 pub fn merged_answer(kind: Kind, id: &str, model: &str, text: &str, last: Option<&Value>) -> Value {
     let reason = last.map_or(&Value::Null, |chunk| &chunk["choices"][0]["finish_reason"]);
     let usage = last.map_or(&Value::Null, |chunk| &chunk["usage"]);
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -1,4 +1,4 @@
-//! Drives one completion through its attempts and passes its chunks on, complete and in order.
+//! Runs the attempts of a completion and forwards its chunks, complete and in order.
 
 use async_channel::{Receiver, Sender};
 use async_sse::Event as SseEvent;
@@ -16,37 +16,37 @@
 use crate::prelude::*;
 use crate::telemetry::trace::Hop;
 
-/// The data of a stream's last event.
+/// Data of the event that ends a stream.
 pub(super) const END_OF_STREAM: &str = "[DONE]";
-/// Bytes of one engine's stream that are read at most.
+/// Maximum bytes read from one engine stream.
 const MAX_STREAM_BYTES: u64 = 1 << 30;
 
-/// What a pump hands to the caller's answer, in order.
+/// One part of an answer, sent in order from a pump to the caller's connection.
 #[derive(Debug)]
 pub(super) enum Piece {
-    /// The first chunk is at hand; the id of the server that made it.
+    /// The first chunk arrived from the server with this id.
     Begin(String),
-    /// One chunk's JSON.
+    /// JSON of one chunk.
     Chunk(String),
     /// The answer is complete.
     End,
-    /// The request is given up.
+    /// The request was refused.
     Failed(Refusal),
-    /// The engine's own answer to a request that it does not take.
+    /// Status and body of an engine's answer to a request that it rejected.
     Rejection(u16, Vec<u8>),
 }
 
 /// One event of an engine's stream.
 enum Chunk {
-    /// It was passed on before.
+    /// A chunk that was already forwarded.
     Duplicate,
-    /// The chunk that is due: its text, and the same as JSON.
+    /// The chunk at the expected position: its text, and the same parsed.
     Next(String, Value),
     /// The stream is complete.
     End,
 }
 
-/// One completion on its way.
+/// Forwards one completion from backend servers to its caller.
 pub(super) struct Pump {
     pub(super) entry: Arc<Entry>,
     pub(super) request: attempt::Key,
@@ -58,14 +58,14 @@
     pub(super) pieces: Sender<Piece>,
     pub(super) hop: Hop,
     pub(super) arrived_at: Time,
-    /// Position of the next chunk.
+    /// Position of the next chunk to forward.
     pub(super) position: u64,
-    /// The text passed on so far.
+    /// Text forwarded so far.
     pub(super) text: String,
 }
 
 impl Pump {
-    /// Obeys commands until the request ends.
+    /// Executes control's commands until the request ends.
     pub(super) async fn run(mut self, commands: Receiver<Command>) {
         let mut waiting = self.hop.child("admission");
         while let Ok(command) = commands.recv().await {
@@ -90,7 +90,7 @@
                     self.pieces.send(Piece::Failed(refusal)).await.ok();
                     return;
                 }
-                // The attempt that it is meant for has ended already.
+                // The attempt to abort has already ended.
                 Command::Abort(_) => {}
                 Command::Replay(_) => return,
             }
@@ -194,8 +194,8 @@
         outcome
     }
 
-    /// An engine that did not run the request: one that it will never take is answered as the
-    /// engine answered it, all else is tried elsewhere.
+    /// Handles an engine's answer that it did not run the request. A permanent rejection is
+    /// forwarded to the caller; other requests are retried on another server.
     async fn handle_declined(
         &mut self,
         dispatch: &Dispatch,
@@ -251,15 +251,16 @@
                 return Outcome::CallerGone;
             }
         }
-        Outcome::Broken("the stream ended early".into())
+        Outcome::Broken("the engine's stream ended without a final event".into())
     }
 
-    /// What an event is: the chunk that is due, one that was passed on before, or the end. All else
+    /// Classifies an event as the expected chunk, a duplicate or the end of the stream. An error
     /// ends the attempt.
     fn read_chunk(&self, message: &async_sse::Message) -> Result<Chunk, String> {
-        let data = std::str::from_utf8(message.data()).map_err(|_| "a chunk is no text")?;
+        let data = std::str::from_utf8(message.data())
+            .map_err(|_| "the engine sent a chunk that is not UTF-8")?;
         if message.name() != "message" {
-            return Err(format!("the engine sent {}: {data}", message.name()));
+            return Err(format!("the engine sent an event named {}: {data}", message.name()));
         }
         let position = message.id().as_ref().and_then(|id| id.parse::<u64>().ok());
         match position {
@@ -267,13 +268,14 @@
             Some(position) if position == self.position => {}
             _ => {
                 let seen = message.id();
-                return Err(format!("chunk {seen:?} came where {} was due", self.position));
+                return Err(format!("the engine sent chunk {seen:?}, expected {}", self.position));
             }
         }
         if data == END_OF_STREAM {
             return Ok(Chunk::End);
         }
-        let chunk = serde_json::from_str(data).map_err(|_| "a chunk is no JSON")?;
+        let chunk =
+            serde_json::from_str(data).map_err(|_| "the engine sent a chunk that is not JSON")?;
         Ok(Chunk::Next(data.to_owned(), chunk))
     }
 
@@ -288,11 +290,11 @@
     }
 }
 
-/// Ends when control ends the attempt of this number.
+/// Waits until control aborts the attempt of this number.
 async fn wait_for_abort(commands: &Receiver<Command>, number: u32) -> Outcome {
     while let Ok(command) = commands.recv().await {
         if command == Command::Abort(number) {
-            return Outcome::Broken("the server does not answer or has restarted".into());
+            return Outcome::Broken("the server is unreachable or has restarted".into());
         }
     }
     std::future::pending().await
--- a/src/entry/service.rs
+++ b/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: passed on whole, and answered whole.
+//! Forwards calls to plain services, without streaming requests or answers.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -14,7 +14,7 @@
 use crate::prelude::*;
 use crate::telemetry::trace::Hop;
 
-/// Headers of a request that are passed on.
+/// Request headers forwarded to the service.
 const FORWARDED_HEADERS: [&str; 6] = [
     "content-type",
     "accept",
@@ -23,7 +23,7 @@
     "if-match",
     "if-none-match",
 ];
-/// Headers of an answer that are passed back.
+/// Response headers returned to the caller.
 const RETURNED_HEADERS: [&str; 8] = [
     "content-type",
     "content-disposition",
@@ -60,7 +60,7 @@
                 Command::Dispatch(dispatch) => dispatch,
                 Command::Refuse(refusal) => return self.refuse(&call.workspace, &name, refusal),
                 Command::Replay(receipt) => return self.replay(&receipt),
-                // A call is waited for: an end from outside would tell less than the server.
+                // The call keeps running: the server's answer tells more than an abort.
                 Command::Abort(_) => {
                     waiting = call.hop.child("admission");
                     continue;
@@ -157,7 +157,7 @@
         answer
     }
 
-    /// The answer that was remembered for an idempotency key.
+    /// Builds the answer from the receipt of an idempotency key.
     fn replay(&self, receipt: &Receipt) -> Response {
         let body = receipt.body.as_deref().and_then(|body| STANDARD.decode(body).ok());
         let mut answer = server::empty(receipt.status);
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -1,4 +1,4 @@
-//! Request bodies of any shape.
+//! Tests of request parsing, merged answers and late service calls.
 
 use std::net::TcpListener;
 
@@ -60,25 +60,26 @@
     assert_eq!(answer["usage"]["x"], 1);
 }
 
-/// An entry without a control thread behind it.
+/// Creates an entry whose control thread does not run.
 fn entry() -> Entry {
     let settings = json!({
         "id": "router-0", "region": "r", "zone": "z",
         "listen": "127.0.0.1:0", "peer_listen": "127.0.0.1:0", "operators_listen": "127.0.0.1:0",
         "log_service": "127.0.0.1:1", "vm_list": "127.0.0.1:1",
     });
-    let settings = Settings::parse(settings.to_string().as_bytes()).expect("they are sound");
-    let metrics = Arc::new(Metrics::new().expect("instruments"));
+    let settings =
+        Settings::parse(settings.to_string().as_bytes()).expect("the settings are valid");
+    let metrics = Arc::new(Metrics::new().expect("instruments can be created"));
     Entry::new(&settings, Control::new().0, metrics, &Arc::default())
 }
 
 #[test]
 fn send_call_late_sends_nothing() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("an address");
-    listener.set_nonblocking(true).expect("it does not wait");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port exists");
+    let address = listener.local_addr().expect("a bound listener has an address");
+    listener.set_nonblocking(true).expect("a listener can be non-blocking");
     let manifest = json!({ "format": 1, "pools": {}, "workspaces": {} }).to_string();
-    let manifest = manifest::parse(manifest.as_bytes()).expect("it is sound");
+    let manifest = manifest::parse(manifest.as_bytes()).expect("the manifest is valid");
     let call = Call {
         whole: Whole {
             request: Request::new(Method::Post, "http://localhost/services/pay/x"),
@@ -105,7 +106,7 @@
         block_on(entry.send_call(&call, "/x", attempt::Key(0), &dispatch, &call.hop));
     assert_eq!(outcome, Outcome::Late);
     assert!(answer.is_none());
-    assert!(listener.accept().is_err(), "no connection was made");
+    assert!(listener.accept().is_err(), "a late call must not open a connection");
 }
 
 quickcheck! {
