--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -1,4 +1,4 @@
-//! What traffic tells control about a request, and what it is told to do.
+//! Messages about a request between the entry and control.
 
 use std::net::SocketAddr;
 
@@ -10,111 +10,111 @@
 use crate::prefix::{self, Prefix};
 use crate::prelude::*;
 
-/// What a request is for.
+/// The model or service that a request addresses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
-    /// A model's answer.
+    /// A completion by a model.
     Model {
-        /// The model's name.
+        /// Name of the model.
         model: String,
-        /// The weights version that the answer must come from.
+        /// Weights version that must generate the answer.
         weights: String,
-        /// What placement minimises first.
+        /// The metric that placement minimises first.
         objective: Objective,
-        /// The root of the prefix chain.
+        /// Root key of the prefix chain, also sent as the cache salt.
         salt: prefix::Key,
     },
-    /// A call of a plain service.
+    /// A call to a plain service.
     Service {
-        /// The service's name.
+        /// Name of the service.
         service: String,
     },
 }
 
-/// A request that was read whole and may be served.
+/// A fully read, authorized request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request.
+    /// Key of the request.
     pub request: Key,
-    /// Its workspace.
+    /// Workspace of the caller.
     pub workspace: String,
-    /// The workspace's share.
+    /// The workspace's fair-share weight.
     pub share: u32,
-    /// What it is for.
+    /// The requested model or service.
     pub target: Target,
-    /// The pool that serves it.
+    /// Pool that serves the request.
     pub pool: String,
-    /// Its class.
+    /// Priority class.
     pub priority: Priority,
-    /// When its answer must begin, or it must have been sent to a service.
+    /// Time by which a model's answer must begin, or a service must have been sent the request.
     pub deadline: Time,
-    /// The prompt's prefix; empty for services.
+    /// Prefix of the prompt; empty for services.
     pub prefix: Prefix,
-    /// Estimated prompt tokens.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most answer tokens.
+    /// Maximum number of answer tokens.
     pub max_tokens: u32,
-    /// Whether it may be repeated safely.
+    /// Whether the request can be repeated safely.
     pub idempotent: bool,
-    /// What it asks for and for whom: the same where its caller asks again.
+    /// Hash of the workspace and the request's content; equal when the caller retries.
     pub fingerprint: Fingerprint,
-    /// The claim that it needs before it may be dispatched.
+    /// Claim that must be won before dispatch; `None` if no claim is needed.
     pub claim: Option<ledger::Proposal>,
 }
 
-/// What traffic is told to do for a request.
+/// A command from control to the entry about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Send it to a server.
+    /// Send the request to a server.
     Dispatch(Dispatch),
-    /// End the attempt of this number: its server does not answer, or has restarted.
+    /// Abort the attempt of this number: its server is unreachable or has restarted.
     Abort(u32),
-    /// Answer it; it is given up.
+    /// Refuse the request.
     Refuse(Refusal),
-    /// Answer it with the receipt of the run that its key names.
+    /// Answer with the receipt stored for the request's idempotency key.
     Replay(ledger::Receipt),
 }
 
-/// One attempt at a server.
+/// One attempt to run a request on a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// Counts the request's attempts from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// The server.
+    /// Key of the server.
     pub server: membership::Key,
-    /// Its id.
+    /// Id of the server.
     pub id: String,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// The incarnation that the answer must come from; `None` for services.
+    /// Incarnation that must generate the answer; `None` for services.
     pub incarnation: Option<String>,
-    /// Whether the server holds the stream of an earlier attempt, to be resumed.
+    /// Whether to resume an earlier attempt's stream, which the server holds.
     pub resume: bool,
-    /// The blocks that the server is to import rather than compute.
+    /// Blocks for the server to import instead of computing them.
     pub import: Option<Import>,
-    /// When it must have been sent.
+    /// Time by which the request must have been sent.
     pub deadline: Time,
 }
 
-/// Leading blocks of the prompt that another engine is believed to hold.
+/// Leading blocks of the prompt that another engine probably holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Import {
-    /// Where the holder listens.
+    /// Address of the holder.
     pub address: SocketAddr,
-    /// The incarnation that held them; another one does not.
+    /// Incarnation that holds the blocks; a restart of the engine drops them.
     pub incarnation: String,
-    /// How many leading blocks.
+    /// Number of leading blocks.
     pub blocks: usize,
 }
 
-/// A final answer that the router makes itself.
+/// A final answer generated by the router instead of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What happened.
+    /// Error code and detail.
     pub error: Error,
-    /// Whether the work ran; may differ from the code's own.
+    /// Whether the request ran; may differ from the default of the code.
     pub execution: Execution,
-    /// Seconds after which to come back; 0 where it does not help.
+    /// Retry-after time in seconds; 0 if a retry does not help.
     pub retry_after: u32,
 }
 
@@ -131,35 +131,35 @@
     }
 }
 
-/// What traffic reports of an attempt.
+/// A report from the entry to control about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Report {
-    /// The server has begun to answer.
+    /// The server began to answer.
     Begun {
-        /// Prompt tokens that it found in its cache, where it says so.
+        /// Prompt tokens found in the server's cache, if reported.
         cached_tokens: Option<u32>,
     },
     /// The attempt ended.
     Ended(Outcome),
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer arrived; for keyed requests with what is to be remembered of it.
+    /// The complete answer arrived; service calls include a receipt for the ledger.
     Complete(Option<ledger::Receipt>),
-    /// No byte left this machine.
+    /// No byte was sent.
     Unsent(String),
-    /// The server said that it did not run it.
+    /// The server reported that it did not run the request.
     Declined(String),
-    /// At least one byte left, and no whole answer arrived.
+    /// At least one byte was sent, but no complete answer arrived.
     Broken(String),
-    /// The answer named another attempt, incarnation or weights version.
+    /// The answer names a different attempt, incarnation or weights version.
     Mismatch(String),
-    /// The answer is larger than may be passed on.
+    /// The answer exceeds the size limit.
     TooLarge,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
-    /// The deadline came before a byte was sent.
+    /// The deadline passed before a byte was sent.
     Late,
 }
--- a/src/attempt/state.rs
+++ b/src/attempt/state.rs
@@ -1,55 +1,55 @@
-//! The state of one request, and what follows from a failed attempt.
+//! State of a request, and the action after each attempt.
 
 use super::{Arrival, Outcome};
 use crate::membership;
 use crate::prelude::*;
 
-/// Attempts made for one request at most.
+/// Maximum attempts per request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Its claim is on its way through the log.
+    /// The claim is being appended to the log.
     Claiming,
-    /// It waits for a server.
+    /// The request waits for a server.
     Waiting,
-    /// An attempt is under way.
+    /// An attempt is running.
     Sent {
-        /// The server.
+        /// Server that runs the attempt.
         server: membership::Key,
-        /// When it was dispatched.
+        /// Time of dispatch.
         at: Time,
-        /// Prompt tokens to be computed there before the first token.
+        /// Prompt tokens that the server must compute before the first answer token.
         pending_tokens: u32,
-        /// Whether the server has begun to answer.
+        /// Whether the server began to answer.
         begun: bool,
     },
 }
 
-/// One request.
+/// A request and its progress.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What was asked for.
+    /// The request as received.
     pub arrival: Arrival,
-    /// When it came.
+    /// Time of arrival.
     pub arrived_at: Time,
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Servers that failed it.
+    /// Servers on which an attempt failed.
     pub failed_servers: BTreeSet<membership::Key>,
     /// Whether any attempt may have run.
     pub maybe_ran: bool,
-    /// Whether the caller has been sent a part of the answer.
+    /// Whether any part of the answer was sent to the caller.
     pub begun: bool,
-    /// The server and incarnation that hold its broken stream.
+    /// Server and incarnation that hold the request's interrupted stream.
     pub stream_holder: Option<(membership::Key, Option<String>)>,
 }
 
 impl Request {
-    /// A request that has just come.
+    /// Creates the state of a newly arrived request.
     pub fn new(arrival: Arrival, now: Time, phase: Phase) -> Self {
         Self {
             arrival,
@@ -64,18 +64,18 @@
     }
 }
 
-/// What follows from an attempt's end.
+/// Action after an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// The request is done.
+    /// Finish the request.
     Finish,
-    /// Try again, elsewhere or on the server that holds the stream.
+    /// Retry, on another server or on the one that holds the stream.
     Retry,
-    /// Answer with this; the request is given up.
+    /// Give up, and answer with this code and detail.
     GiveUp(Code, String),
 }
 
-/// Decides what follows. A request that may not be repeated is tried again only where the attempt
+/// Decides the action after an attempt. A non-idempotent request is retried only if the attempt
 /// provably did not run.
 pub fn next_action(request: &Request, outcome: &Outcome, may_retry: bool) -> Action {
     let (ran, reason) = match outcome {
@@ -96,7 +96,7 @@
     Action::GiveUp(code, reason.clone())
 }
 
-/// The code of a request that may have run and whose answer was lost.
+/// Returns the code for a request that may have run and whose answer was lost.
 pub fn lost_code(request: &Request) -> Code {
     match request.arrival.target {
         super::Target::Model { .. } => Code::GenerationFailed,
