--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,8 +1,8 @@
-//! Keyed non-idempotent requests: claims and outcomes on the log, so that each runs at most once.
+//! Runs each keyed non-idempotent request at most once, by claims and outcomes on the log.
 //!
-//! A request with an idempotency key is dispatched only after its claim is known to be the first
-//! of that key in the log's order. Claims never expire within the key's window, whatever becomes of
-//! the daemon that made them; see `docs/DESIGN.md`.
+//! A request with an idempotency key is dispatched only after its claim is confirmed as the first
+//! of that key in log order. Claims never expire within the key's window, even if the daemon that
+//! made them ends; see `docs/DESIGN.md`.
 
 mod pending;
 mod record;
@@ -16,49 +16,49 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of an answer's body that are kept for the caller who asks again.
+/// Maximum size of an answer's body kept for retries by the caller.
 pub const MAX_RECEIPT_BODY_BYTES: usize = 16 * 1024;
 
-/// Names one keyed request over the whole fleet.
+/// Identifies a keyed request across all daemons.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// The workspace.
+    /// Workspace of the caller.
     pub workspace: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// The caller's idempotency key.
     pub key: String,
 }
 
-/// What a keyed request asks of the ledger.
+/// A claim that a keyed request must win before dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Its name.
+    /// Ledger key of the request.
     pub key: Key,
-    /// SHA-256 of method, path and body, in hexadecimal.
+    /// Hexadecimal SHA-256 of method, path and body.
     pub digest: String,
-    /// Seconds for which the key is remembered.
+    /// Seconds until the key is forgotten.
     pub window_s: u64,
 }
 
-/// Names one claim.
+/// Identifies a claim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The daemon that made it.
+    /// Daemon that made the claim.
     pub daemon: String,
-    /// The daemon's incarnation.
+    /// Incarnation of the daemon.
     pub incarnation: u64,
-    /// Counts the daemon's claims.
+    /// Number of the claim within the incarnation.
     pub sequence: u64,
 }
 
-/// What is remembered of an answer.
+/// The stored part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
     /// HTTP status.
     pub status: u16,
-    /// Content type; empty where the answer had none.
+    /// Content type; empty if the answer had none.
     pub content_type: String,
-    /// The body in base64; `None` where it was larger than [`MAX_RECEIPT_BODY_BYTES`].
+    /// Body in base64; `None` if larger than [`MAX_RECEIPT_BODY_BYTES`].
     pub body: Option<String>,
 }
--- a/src/ledger/pending.rs
+++ b/src/ledger/pending.rs
@@ -1,27 +1,27 @@
-//! This daemon's own claims on their way through the log.
+//! This daemon's own claims until the log confirms them.
 
 use super::{Batch, ClaimId, Entry, Key, Proposal, Receipt, State, Status};
 use crate::attempt;
 use crate::prelude::*;
 
-/// Entries that one append carries at most.
+/// Maximum entries per append.
 const MAX_BATCH_ENTRIES: usize = 256;
-/// Abandoned claims that are looked out for at most; the oldest are forgotten first. Should one of
-/// those still land, its key answers *unknown* for its window.
+/// Maximum abandoned claims to track; the oldest are dropped first. If a dropped claim is still
+/// appended, its key answers *unknown* for its window.
 pub(super) const MAX_ABANDONED_CLAIMS: usize = 10_000;
-/// Time after which entries whose append failed are tried again.
+/// Delay before the next append after a failed one.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What follows for a claiming request.
+/// Result for a request's claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Resolution {
-    /// Its claim is the first: dispatch it.
+    /// The claim is first: dispatch the request.
     Won(attempt::Key),
-    /// Another claim was first: answer from what is known of the key.
+    /// Another claim was first: answer from the state of the key.
     Lost(attempt::Key),
-    /// Its claim was never appended: refuse it as not run.
+    /// The claim was not appended: refuse the request as not run.
     Unclaimed(attempt::Key),
-    /// Its claim was abandoned and has now been released.
+    /// An abandoned claim was appended after all; its release is queued.
     Released,
 }
 
@@ -31,16 +31,16 @@
     key: Key,
 }
 
-/// Own claims, and entries that wait to be appended.
+/// Own claims, and entries queued for the log.
 #[derive(Debug)]
 pub struct Pending {
     daemon: String,
     incarnation: u64,
     sequence: u64,
     claims: BTreeMap<ClaimId, Claim>,
-    /// Claims given up on that may still land; released when they show up.
+    /// Abandoned claims that may still be appended; released when they appear in the fold.
     pub(super) abandoned: BTreeMap<ClaimId, Key>,
-    /// Receipts of own claims that the fold does not show yet.
+    /// Receipts of own claims that are not folded yet.
     receipts: BTreeMap<Key, Receipt>,
     buffer: Vec<Entry>,
     in_flight: Option<(u64, Vec<Entry>)>,
@@ -49,7 +49,7 @@
 }
 
 impl Pending {
-    /// Nothing pending yet for this daemon and incarnation.
+    /// Creates an empty queue for this daemon and incarnation.
     pub fn new(daemon: String, incarnation: u64) -> Self {
         Self {
             daemon,
@@ -65,17 +65,17 @@
         }
     }
 
-    /// Whether nothing waits to be appended or confirmed.
+    /// Returns whether no append or confirmation is outstanding.
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.in_flight.is_none() && self.claims.is_empty()
     }
 
-    /// Whether this incarnation of this daemon made the claim.
+    /// Returns whether this daemon incarnation made the claim.
     pub fn is_own(&self, id: &ClaimId) -> bool {
         id.daemon == self.daemon && id.incarnation == self.incarnation
     }
 
-    /// Makes a claim for `request`.
+    /// Creates and queues a claim for `request`.
     pub fn claim(&mut self, request: attempt::Key, proposal: &Proposal) -> ClaimId {
         self.sequence += 1;
         let id = ClaimId {
@@ -93,7 +93,7 @@
         id
     }
 
-    /// Notes an outcome, a loss or a release to be appended.
+    /// Queues an outcome, a loss or a release for the log.
     pub fn enqueue(&mut self, entry: Entry) {
         if let Entry::Outcome { key, receipt, .. } = &entry {
             self.receipts.insert(key.clone(), receipt.clone());
@@ -101,13 +101,13 @@
         self.buffer.push(entry);
     }
 
-    /// The receipt of `key`, where this daemon ran it and the fold does not show it yet.
+    /// Returns the receipt of `key` if this daemon ran it and the receipt is not folded yet.
     pub fn receipt(&self, key: &Key) -> Option<&Receipt> {
         self.receipts.get(key)
     }
 
-    /// The next append, if one is due: its number and the record. One is under way at a time, and
-    /// what comes meanwhile goes together in the next.
+    /// Returns the number and record of the next append, if one is due. Only one append runs at a
+    /// time; entries queued meanwhile share the next one.
     pub fn next_append(&mut self, now: Time) -> Option<(u64, String)> {
         if self.in_flight.is_some() || self.buffer.is_empty() || now < self.retry_at {
             return None;
@@ -120,18 +120,23 @@
         Some((self.appends, text))
     }
 
-    /// The append of this number landed; what it carried is decided when it is folded.
+    /// Handles a successful append; its entries take effect when they are folded.
     pub fn append_succeeded(&mut self, number: u64) {
         if self.in_flight.as_ref().is_some_and(|(current, _)| *current == number) {
             self.in_flight = None;
         }
     }
 
-    /// The append of this number failed; `landed` tells whether it may have landed all the same.
+    /// Handles a failed append; `maybe_appended` tells whether the log may still contain it.
     ///
-    /// Entries that settle a claim are appended again: folding them twice changes nothing. Claims
-    /// are not: a second record could land after the request was given up.
-    pub fn append_failed(&mut self, now: Time, number: u64, landed: bool) -> Vec<Resolution> {
+    /// Entries that settle a claim are appended again, since folding them twice changes nothing.
+    /// Claims are not, since the second record could be appended after the request was refused.
+    pub fn append_failed(
+        &mut self,
+        now: Time,
+        number: u64,
+        maybe_appended: bool,
+    ) -> Vec<Resolution> {
         let Some((current, entries)) = self.in_flight.take() else {
             return Vec::new();
         };
@@ -141,24 +146,24 @@
         }
         self.retry_at = now + RETRY_DELAY;
         let mut resolutions = Vec::new();
-        let mut again = Vec::new();
+        let mut retries = Vec::new();
         for entry in entries {
             match &entry {
-                Entry::Claim { .. } if landed => {}
+                Entry::Claim { .. } if maybe_appended => {}
                 Entry::Claim { id, .. } => {
                     if let Some(claim) = self.claims.remove(id) {
                         resolutions.push(Resolution::Unclaimed(claim.request));
                     }
                 }
-                _ => again.push(entry),
+                _ => retries.push(entry),
             }
         }
-        again.append(&mut self.buffer);
-        self.buffer = again;
+        retries.append(&mut self.buffer);
+        self.buffer = retries;
         resolutions
     }
 
-    /// Gives up on the claim of `request`, which was not dispatched and will not be.
+    /// Abandons the claim of `request`, which was not dispatched and will not be.
     pub fn abandon(&mut self, request: attempt::Key) {
         let found = self.claims.iter().find(|(_, claim)| claim.request == request);
         let Some(id) = found.map(|(id, _)| id.clone()) else {
@@ -178,7 +183,7 @@
         }
     }
 
-    /// Looks at the fold for what became of own claims.
+    /// Resolves own claims from the folded state.
     pub fn resolve(&mut self, state: &State) -> Vec<Resolution> {
         let mut resolutions = Vec::new();
         let ids: Vec<ClaimId> = self.claims.keys().cloned().collect();
@@ -199,13 +204,13 @@
         }
         self.receipts
             .retain(|key, _| state.get(key).is_some_and(|slot| slot.status == Status::Claimed));
-        let landed: Vec<ClaimId> = self
+        let appended: Vec<ClaimId> = self
             .abandoned
             .iter()
             .filter(|(id, key)| state.get(key).is_some_and(|slot| slot.claim == **id))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in landed {
+        for id in appended {
             if let Some(key) = self.abandoned.remove(&id) {
                 self.buffer.push(Entry::Release { id, key });
                 resolutions.push(Resolution::Released);
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -1,63 +1,63 @@
-//! Records of the ledger stream on the log.
+//! Records of the ledger stream in the log.
 
 use serde::{Deserialize, Serialize};
 
 use super::{ClaimId, Key, Receipt};
 
-/// The version of the record's format.
+/// Version of the record format.
 const FORMAT: u32 = 1;
 
-/// One record: entries that were appended together.
+/// A log record: entries appended together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Version of the format; 1.
+    /// Version of the record format; 1.
     pub format: u32,
-    /// What is noted, in order.
+    /// Entries in order.
     pub entries: Vec<Entry>,
 }
 
-/// One entry of the ledger.
+/// A ledger entry about one claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Entry {
-    /// A daemon wants to run the request of this key.
+    /// A daemon requests the right to run the key's request.
     Claim {
-        /// The claim.
+        /// Id of the claim.
         id: ClaimId,
-        /// The key.
+        /// Key of the request.
         key: Key,
-        /// Digest of the request.
+        /// SHA-256 of the request's method, path and body.
         digest: String,
-        /// Seconds for which the key is remembered.
+        /// Seconds until the key is forgotten.
         window_s: u64,
     },
-    /// The claim's request ran, and this was the answer.
+    /// The claimed request ran and was answered.
     Outcome {
-        /// The claim.
+        /// Id of the claim.
         id: ClaimId,
-        /// The key.
+        /// Key of the request.
         key: Key,
-        /// What is remembered of the answer.
+        /// Receipt of the answer.
         receipt: Receipt,
     },
-    /// The claim's request may have run, and its answer was lost.
+    /// The claimed request may have run, but its answer was lost.
     Lost {
-        /// The claim.
+        /// Id of the claim.
         id: ClaimId,
-        /// The key.
+        /// Key of the request.
         key: Key,
     },
-    /// The claim's request was never dispatched and never will be.
+    /// The claimed request was not dispatched and will not be.
     Release {
-        /// The claim.
+        /// Id of the claim.
         id: ClaimId,
-        /// The key.
+        /// Key of the request.
         key: Key,
     },
 }
 
 impl Batch {
-    /// A record of these entries.
+    /// Creates a record of these entries.
     pub fn new(entries: Vec<Entry>) -> Self {
         Self { format: FORMAT, entries }
     }
@@ -67,7 +67,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a record; `None` where this release can't.
+    /// Decodes a record; `None` if it is malformed or of an unknown format.
     pub fn decode(text: &str) -> Option<Self> {
         let batch: Self = serde_json::from_str(text).ok()?;
         (batch.format == FORMAT).then_some(batch)
--- a/src/ledger/state.rs
+++ b/src/ledger/state.rs
@@ -1,37 +1,37 @@
-//! The fold over the ledger stream: who claimed which key first, and what came of it.
+//! Fold over the ledger stream: the first claim of each key, and its status.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Batch, ClaimId, Entry, Key, Receipt};
 use crate::prelude::*;
 
-/// What is known of one key.
+/// State of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slot {
-    /// The first claim in the log's order.
+    /// First claim in log order.
     pub claim: ClaimId,
-    /// Digest of its request.
+    /// Digest of the claimed request.
     pub digest: String,
-    /// Log time in milliseconds after which the key is forgotten.
+    /// Log time in milliseconds at which the key is forgotten.
     pub expires_ms: u64,
-    /// What came of it.
+    /// Status of the claim.
     #[serde(rename = "found")]
     pub status: Status,
 }
 
-/// What came of a claim.
+/// Status of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// Nothing yet.
+    /// No outcome is recorded yet.
     Claimed,
-    /// It may have run; its answer was lost.
+    /// The request may have run; its answer was lost.
     Lost,
-    /// It ran.
+    /// The request ran.
     Done(Receipt),
 }
 
-/// The fold over the ledger stream.
+/// State folded from the ledger stream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
     slots: BTreeMap<Key, Slot>,
@@ -41,49 +41,49 @@
 }
 
 impl State {
-    /// The offset of the next record to fold.
+    /// Returns the offset of the next record to fold.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Log time of the newest record, in milliseconds.
+    /// Returns the log time of the newest record in milliseconds.
     pub fn time_ms(&self) -> u64 {
         self.time_ms
     }
 
-    /// Number of keys remembered.
+    /// Returns the number of known keys.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is known.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// What is known of `key`.
+    /// Returns the state of `key`, if known.
     pub fn get(&self, key: &Key) -> Option<&Slot> {
         self.slots.get(key)
     }
 
-    /// Every key with what is known of it.
+    /// Iterates over all known keys and their state.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Slot)> {
         self.slots.iter()
     }
 
-    /// A state rebuilt from a peer's slots.
+    /// Rebuilds a state from a peer's slots.
     pub fn rebuild(next: u64, time_ms: u64, slots: BTreeMap<Key, Slot>) -> Self {
         let expiry = slots.iter().map(|(key, slot)| (slot.expires_ms, key.clone())).collect();
         Self { slots, expiry, next, time_ms }
     }
 
-    /// Continues at `offset`, where the log no longer has what comes before it.
+    /// Skips records before `offset` that the log no longer has.
     pub fn skip_to(&mut self, offset: u64) {
         self.next = self.next.max(offset);
     }
 
-    /// Folds the record at `offset`, appended at log time `time_ms`; `None` where it could not be
-    /// read. Records before [`State::next`] are known already.
+    /// Folds the record at `offset`, appended at log time `time_ms`. Returns `None` if it can't be
+    /// decoded. Ignores records before [`State::next`], which are already folded.
     pub fn fold(&mut self, offset: u64, time_ms: u64, text: &str) -> Option<()> {
         if offset < self.next {
             return Some(());
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! The fold over the ledger stream, from any records.
+//! Tests of the fold over arbitrary records, and of the limit on abandoned claims.
 
 use quickcheck::quickcheck;
 
@@ -12,7 +12,7 @@
     ClaimId { daemon: "router-0".into(), incarnation: 1, sequence: number.into() }
 }
 
-/// One of the four kinds of entry, for one of a few keys and claims.
+/// Builds an entry of one of four kinds, for one of three keys and four claims.
 fn entry(kind: u8, which: u8, claim: u8) -> Entry {
     let (id, key) = (id(claim % 4), key(which % 3));
     match kind % 4 {
@@ -32,9 +32,10 @@
     for number in 0..20_000 {
         let request = crate::attempt::Key(number);
         pending.claim(request, &Proposal { key: key(0), digest: "d".into(), window_s: 10 });
-        // It is on its way, so that it can't be taken back.
+        // An append that may have succeeded makes the claim impossible to withdraw.
         let now = std::time::Duration::from_secs(number);
-        let (append, _) = pending.next_append(now).expect("one is due");
+        let (append, _) =
+            pending.next_append(now).expect("the queued claim must be due for append");
         pending.append_failed(now, append, true);
         pending.abandon(request);
     }
@@ -52,7 +53,7 @@
         state.next() == texts.len() as u64 && state.is_empty() && !folded.contains(&true)
     }
 
-    /// A key that is done stays done with the same receipt until its window ends.
+    /// A done key keeps its receipt until its window ends.
     fn fold_done_stays_done(entries: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let mut done: std::collections::BTreeMap<Key, Slot> = std::collections::BTreeMap::new();
@@ -66,7 +67,7 @@
         })
     }
 
-    /// A state rebuilt from its slots folds on as the one that it was taken from.
+    /// A state rebuilt from slots folds further records like the original.
     fn rebuild_folds_like_original(before: Vec<(u8, u8, u8)>, after: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let record = |entries: &[(u8, u8, u8)]| {
