--- a/src/control/tests/at_most_once.rs
+++ b/src/control/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Keyed and unkeyed calls over thousands of seeded histories: at most one run, true refusals,
-//! one receipt.
+//! Calls with and without an idempotency key over seeded histories. A key runs at most once, a
+//! refusal reports correctly whether the call ran, and a replay returns the receipt of the run.
 
 use super::simulation::{Answer, Faults, Simulation};
 use crate::control::{AppendResult, Message, Policy, Read, Record, Stream};
@@ -36,7 +36,7 @@
     simulation
 }
 
-/// Every rule that a history must obey.
+/// Checks the invariants of a history.
 fn check_invariants(seed: u64, simulation: &Simulation) {
     let mut runs: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for (number, (_, key)) in simulation.runs.iter().enumerate() {
@@ -80,7 +80,7 @@
             }
         }
     }
-    // The histories must have tried what they are for.
+    // Check that the histories covered each kind of answer.
     assert!(answered > 1_000 && replayed > 500 && unknown > 500 && ran > answered);
 }
 
@@ -105,7 +105,7 @@
 #[test]
 fn claim_written_late_is_released() {
     let mut simulation = Simulation::new(1, 2, Faults::default());
-    // The append's answer is lost and the record is held back.
+    // The answer of the append is lost and the record is not yet on the log.
     simulation.log_down = true;
     let request = simulation.send_payment(0, Some("k"));
     assert_eq!(simulation.answers.get(&request), None);
@@ -119,7 +119,7 @@
     simulation.deliver(0, Message::Tick);
     let refused = Answer::Refused(Code::LogUnavailable, Execution::NotRun);
     assert_eq!(simulation.answers[&request], refused);
-    // It lands after all: first unknown to others, then released, then free.
+    // The claim is written late. Its outcome is unknown at first, until the claim is released.
     simulation.log_down = false;
     let claim = crate::ledger::Batch::new(vec![crate::ledger::Entry::Claim {
         id: crate::ledger::ClaimId { daemon: "router-0".into(), incarnation: 0, sequence: 1 },
@@ -149,19 +149,19 @@
     }
     simulation.restart(0);
     let next = simulation.nodes[0].next_offset(Stream::Ledger);
-    assert!(next < 3, "the first read returned everything");
+    assert!(next < 3, "the first read returned all records");
     let request = simulation.send_payment(0, Some("k"));
     assert_eq!(
         simulation.answers[&request],
         Answer::Refused(Code::LedgerBehind, Execution::NotRun)
     );
     let unkeyed = simulation.send_payment(0, None);
-    assert_eq!(simulation.answers.get(&unkeyed), None, "calls without a key go on");
+    assert_eq!(simulation.answers.get(&unkeyed), None, "calls without a key need no ledger");
 }
 
-/// Two daemons of three started while only the ledger's stream failed. Each heard the other first, who knew
-/// of no key at all, and took that for what is known: neither asked the third, and callers who came back
-/// for a receipt were refused (2007) for as long as the outage lasted.
+/// Guards against taking an empty snapshot for the whole ledger. Two of three daemons restart while only the
+/// ledger stream is down, and each receives the other's empty snapshot first. They must still ask the third
+/// daemon. Otherwise they refuse retries (2007) until the outage ends.
 #[test]
 fn receipts_fetched_from_the_peer_that_has_them() {
     for receipt_holder in 0..3 {
@@ -177,7 +177,7 @@
         for index in &restarted {
             simulation.read(*index, Stream::Manifest);
         }
-        // They hear each other's folded state before anything else.
+        // The restarted daemons receive each other's snapshot first.
         let empty = simulation.nodes[restarted[0]].snapshot(simulation.now);
         simulation.deliver(restarted[1], Message::Frame(Frame::Snapshot(empty)));
         let empty = simulation.nodes[restarted[1]].snapshot(simulation.now);
@@ -188,15 +188,15 @@
             let answer = &simulation.answers[&again];
             assert!(
                 matches!(answer, Answer::Replay(_)),
-                "router-{index} of {receipt_holder}: {answer:?}"
+                "router-{index}, receipt at router-{receipt_holder}: {answer:?}"
             );
         }
     }
 }
 
-/// A daemon that had just started, or had been frozen, had no fresh word of any peer, and took that for the
-/// claimant's end: it told callers for good that the outcome was not learnt (3003, no time to come back),
-/// while the call was running at a peer and its receipt came a moment later.
+/// Guards against taking a claimant for dead before its digests could arrive. A daemon that just started or
+/// was frozen has no live peers. It must not answer that the outcome is unknown (3003, without a retry-after
+/// time) while the call may be running at a peer.
 #[test]
 fn claim_of_unheard_peer_is_in_progress() {
     let in_progress = Answer::Refused(Code::KeyInProgress, Execution::Unknown);
@@ -219,7 +219,7 @@
         let early = simulation.send_payment(1, Some("k"));
         assert_eq!(
             simulation.answers[&early], in_progress,
-            "frozen {frozen}: nobody was heard yet"
+            "frozen {frozen}: no digest could arrive yet"
         );
         for _ in 0..6 {
             simulation.now += lifetime / 6;
@@ -229,7 +229,7 @@
         let late = simulation.send_payment(1, Some("k"));
         assert_eq!(
             simulation.answers[&late], unknown,
-            "frozen {frozen}: it listened and heard nothing"
+            "frozen {frozen}: no digest arrived within the digest lifetime"
         );
     }
 }
@@ -274,5 +274,9 @@
     let read = Read { first: 0, next: 100, retention_s: 1, records: vec![gap] };
     let before = simulation.nodes[0].next_offset(Stream::Ledger);
     simulation.deliver(0, Message::Records(Stream::Ledger, read));
-    assert_eq!(simulation.nodes[0].next_offset(Stream::Ledger), before, "a gap is not folded over");
+    assert_eq!(
+        simulation.nodes[0].next_offset(Stream::Ledger),
+        before,
+        "a read that leaves a gap is not applied"
+    );
 }
--- a/src/control/tests/blocks.rs
+++ b/src/control/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Blocked requests: for how long, whoever tells of them.
+//! Expiry of blocks, whether learned from the log or from peers.
 
 use super::simulation::{Faults, PendingAction, Simulation, manifest_value, publish_record};
 use crate::control::{self, Effect, Identity, Message, Node, Policy, Read, Stream};
@@ -9,7 +9,7 @@
 const HOUR: Duration = Duration::from_secs(3_600);
 const CRASHING: Fingerprint = Fingerprint(7);
 
-/// Lets daemons look and tell each other, all but what reads the log.
+/// Ticks the daemons and delivers their frames, without reading the log.
 fn run_rounds(simulation: &mut Simulation, count: usize) {
     for _ in 0..count {
         for index in 0..simulation.nodes.len() {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Requests that each daemon has blocked.
+/// Returns the number of requests that each daemon blocks.
 fn count_blocked(simulation: &Simulation) -> Vec<usize> {
     simulation.nodes.iter().map(|node| node.status(simulation.now).requests_blocked).collect()
 }
@@ -38,9 +38,8 @@
     Record::new(&blocked, lifted).encode()
 }
 
-/// Each hearing of a block counted its day anew. With the stream of blocks out, digests tell of it, and of two peers
-/// the one that let it lapse heard of it from the other within seconds: both had it a day and over a minute later,
-/// and would have had it for ever.
+/// Guards against restarting a block's 24 h at each digest that repeats it. While the stream of blocks is down,
+/// digests carry blocks. A daemon where the block expired would take it from its peer again, without end.
 ///
 /// ```text
 /// 24 h and over a minute: left: [1, 1] right: [0, 0]
@@ -57,21 +56,21 @@
         poison::Message::Blocked(vec![Blocked { fingerprint: CRASHING, age: Duration::ZERO }]);
     simulation.deliver(0, Message::Frame(Frame::Poison(block)));
     run_rounds(&mut simulation, 5);
-    simulation.log.get_mut(&Stream::Blocked).expect("it is there").clear();
+    simulation.log.get_mut(&Stream::Blocked).expect("the log has a stream of blocks").clear();
     assert_eq!(count_blocked(&simulation), [1, 1]);
     simulation.now += HOUR * 24 - Duration::from_secs(30);
-    // Daemons do not look at the same moment.
+    // The daemons do not tick at the same time.
     simulation.deliver(0, Message::Tick);
     simulation.now += Duration::from_secs(5);
     run_rounds(&mut simulation, 400);
     assert_eq!(count_blocked(&simulation), [0, 0], "24 h and over a minute");
 }
 
-/// A daemon counted the day of a block from when it read the record, whenever the log had taken that: after a restart
-/// at 23 h the block was there at 25 h, and would have been until 47 h.
+/// Guards against counting a block's 24 h from when a daemon read the record instead of when it was written.
+/// After a restart at 23 h, such a block would last until 47 h.
 ///
 /// ```text
-/// the log took it 25 h ago: left: [1] right: [0]
+/// its record was written 25 h ago: left: [1] right: [0]
 /// ```
 #[test]
 fn block_after_restart_expires_a_day_after_its_record() {
@@ -84,7 +83,7 @@
     assert_eq!(count_blocked(&simulation), [1]);
     simulation.now += HOUR * 2;
     simulation.deliver(0, Message::Tick);
-    assert_eq!(count_blocked(&simulation), [0], "the log took it 25 h ago");
+    assert_eq!(count_blocked(&simulation), [0], "its record was written 25 h ago");
 }
 
 #[test]
@@ -102,8 +101,8 @@
     }
 }
 
-/// Operators lift a block by a record. A peer that had not read it yet told of the block in its snapshot, the daemon
-/// that had read it blocked the request again, and as the first daemon wrote that to the log, for all.
+/// Guards against restoring a lifted block. Operators lift a block with a record. The snapshot of a peer that has not
+/// read the record still has the block. A daemon that took it from there would also write it to the log, for all.
 ///
 /// ```text
 /// blocked again: left: [1, 1] right: [0, 1]
@@ -126,16 +125,16 @@
     assert_eq!(simulation.log[&Stream::Blocked].len(), records, "written to the log again");
 }
 
-/// A log that forgets, with its own clock, and daemons that live one after the other, each with a clock from 0.
+/// A log with limited retention and its own clock, and daemons that run one after another, each with a clock from 0.
 struct RestartSimulation {
     log: BTreeMap<Stream, Vec<control::Record>>,
     now_ms: u64,
 }
 
 impl RestartSimulation {
-    /// Seconds for which the log keeps records.
+    /// Time for which the log keeps records.
     const RETENTION_S: u64 = 12 * 3_600;
-    /// Time between two looks of a daemon.
+    /// Time between two ticks of a daemon.
     const TICK_INTERVAL: Duration = Duration::from_secs(60);
 
     fn append(&mut self, stream: Stream, text: String) {
@@ -154,7 +153,7 @@
         Read { first, next, retention_s: Self::RETENTION_S, records: records[from..].to_vec() }
     }
 
-    /// A daemon lives for as long; whether it had blocked a request soon after its start.
+    /// Runs a daemon for `uptime`. Returns whether it blocked a request two ticks after its start.
     fn run_daemon(&mut self, uptime: Duration) -> bool {
         let identity =
             Identity { id: "router-0".into(), incarnation: self.now_ms, zone: "z".into() };
@@ -188,9 +187,9 @@
     }
 }
 
-/// Blocks are written again before the log forgets them. The time to that was counted from the start of each process,
-/// so daemons that live for less than a quarter of the retention wrote none: where the log keeps records for 12 h, the
-/// daemons that started from then on had no block. What is written again says for how long it has been blocked.
+/// Daemons rewrite blocks, with their age, before the log drops them. Guards against counting the time to the rewrite
+/// from each process start. Daemons that run for less than a quarter of the retention would never rewrite, and daemons
+/// that start after the retention of 12 h would have no block.
 #[test]
 fn block_lasts_a_day_with_short_retention_and_uptimes() {
     let mut simulation = RestartSimulation { log: BTreeMap::new(), now_ms: 1_700_000_000_000 };
@@ -198,7 +197,7 @@
     simulation.append(Stream::Blocked, encode_blocks(&[CRASHING], &[]));
     let blocked: Vec<bool> = (0..18).map(|_| simulation.run_daemon(HOUR * 2)).collect();
     let expected: Vec<bool> = (0..18).map(|daemon| daemon < 12).collect();
-    assert_eq!(blocked, expected, "whether the request is blocked every two hours");
+    assert_eq!(blocked, expected, "whether the request is blocked at the start of each daemon");
     let written = simulation.log[&Stream::Blocked].len();
     assert!((4..=12).contains(&written), "{written} records in a day and a half");
 }
--- a/src/control/tests/checkpoints.rs
+++ b/src/control/tests/checkpoints.rs
@@ -1,18 +1,18 @@
-//! The manifest on a log that forgets: written again in time, however long each daemon lives.
+//! Checkpoints keep the manifest on a log with limited retention, whatever the uptime of daemons.
 
 use super::simulation::{manifest_value, publish_record};
 use crate::control::{Effect, Identity, Message, Node, Policy, Read, Record, Stream};
 use crate::membership::{Role, Standing, Vm};
 use crate::prelude::*;
 
-/// Seconds for which the log keeps records.
+/// Time for which the log keeps records.
 const RETENTION_S: u64 = 7 * 86_400;
-/// What the log's clock shows at first, in milliseconds.
+/// Time of the log's clock at the start.
 const START_TIME_MS: u64 = 1_700_000_000_000;
-/// Time between two looks of a daemon in these tests.
+/// Time between two ticks of a daemon.
 const TICK_INTERVAL: Duration = Duration::from_secs(600);
 
-/// A log with its own clock, and daemons that live one after the other, each with a clock that starts at 0.
+/// A log with its own clock, and daemons that run one after another, each with a clock from 0.
 struct RestartSimulation {
     streams: BTreeMap<Stream, Vec<Record>>,
     now_ms: u64,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// One daemon lives alone for `life`; the generation in force at its start.
+    /// Runs one daemon for `uptime`. Returns the generation in force at its start.
     fn run_daemon(&mut self, uptime: Duration) -> u64 {
         self.incarnation += 1;
         let identity =
@@ -105,19 +105,19 @@
 
 const DAY: Duration = Duration::from_secs(86_400);
 
-/// A quarter of the retention, a week, was counted from each daemon's start, or from when it read the last
-/// checkpoint, however old that was. Daemons that are replaced once a day never wrote one: on the eighth day
-/// the log had forgotten the manifest, and whoever started then had none.
+/// Guards against counting a quarter of the retention of a week from each daemon's start, or from when it read
+/// the last checkpoint, however old. Daemons replaced once a day would never write one, and a daemon that
+/// starts on the eighth day would find no manifest on the log.
 #[test]
 fn checkpoint_written_with_daily_restarts() {
     let mut simulation = RestartSimulation::new();
     let generations: Vec<u64> = (0..21).map(|_| simulation.run_daemon(DAY)).collect();
     assert_eq!(generations, vec![1; 21]);
-    // One in a quarter of a week, give or take a day.
+    // One per quarter of a week, with a tolerance of a day.
     assert!((7..=21).contains(&simulation.checkpoints), "{} checkpoints", simulation.checkpoints);
 }
 
-/// A daemon that starts again and again does not write each time.
+/// A daemon that restarts often does not write a checkpoint each time.
 #[test]
 fn checkpoint_not_written_at_each_start() {
     let mut simulation = RestartSimulation::new();
@@ -127,13 +127,17 @@
     assert_eq!(simulation.checkpoints, 0, "the publication is a day old");
 }
 
-/// What was sent counted as written, for a quarter of the retention, also where it never landed.
+/// Guards against counting a lost checkpoint as written for a quarter of the retention.
 #[test]
 fn checkpoint_lost_is_written_again() {
     let mut simulation = RestartSimulation::new();
     simulation.loses_checkpoints = true;
     simulation.run_daemon(6 * DAY);
-    assert!(simulation.checkpoints > 3, "{} tries in more than four days", simulation.checkpoints);
+    assert!(
+        simulation.checkpoints > 3,
+        "{} attempts in more than four days",
+        simulation.checkpoints
+    );
     simulation.loses_checkpoints = false;
     simulation.run_daemon(DAY);
     assert_eq!(simulation.run_daemon(2 * DAY), 1);
--- a/src/control/tests/manifests.rs
+++ b/src/control/tests/manifests.rs
@@ -1,4 +1,4 @@
-//! What is in force: the same everywhere, in the same order, and never reverting.
+//! Nodes put the same manifests in force, in the same order, and never revert.
 
 use super::simulation::{Faults, Simulation, manifest_value, publish_record};
 use crate::control::{Effect, Message, Read, Record, Stream};
@@ -23,7 +23,7 @@
         let mut simulation = Simulation::new(seed, 4, faults);
         for step in 0..300 {
             if simulation.rng.u32(0..20) == 0 {
-                // Publishers race: some replace a generation that is no longer in force.
+                // Publishers race. Some replace a generation that is no longer in force.
                 let newest =
                     simulation.nodes.iter().map(|n| n.manifest.generation()).max().unwrap_or(0);
                 let replaces = newest.saturating_sub(simulation.rng.u64(0..2));
@@ -74,8 +74,8 @@
     assert!(is_increasing(&simulation.generations[0]));
 }
 
-/// A world whose log has three generations, and whose first node has started again and has heard its
-/// engines, but has not reached the log.
+/// Returns a simulation with three generations on the log. Its first node has restarted and polled
+/// its engines but has not read the log.
 fn restart_without_log(nodes: usize) -> Simulation {
     let mut simulation = Simulation::new(1, nodes, Faults::default());
     for (id, replaces) in [("second", 1), ("third", 2)] {
@@ -93,33 +93,32 @@
     simulation
 }
 
-/// The first page of a read that finds three manifests.
+/// Returns the first page of a read of three manifests.
 fn first_page(simulation: &Simulation) -> Message {
     let records = simulation.log[&Stream::Manifest][..1].to_vec();
     Message::Records(Stream::Manifest, Read { first: 0, next: 3, retention_s: 1_000, records })
 }
 
-/// A read returns at most a thousand records, or fewer. A daemon that started put what the first page had
-/// in force and called itself ready, with keys, grants and weights that had been taken away since; where
-/// the log then failed, for as long as the outage lasted. Here it served generation 1 of 3.
+/// Guards against putting the manifest of a first page in force. A read returns at most a thousand records.
+/// A daemon that started would serve with keys, grants and weights that a later record revokes, here with
+/// generation 1 of 3, and until the outage ends if the log then fails.
 #[test]
 fn manifests_partly_read_are_not_in_force() {
     let mut simulation = restart_without_log(1);
     let page = first_page(&simulation);
     simulation.deliver(0, page);
-    assert!(!simulation.nodes[0].is_ready(), "it knows of two records that it has not read");
+    assert!(!simulation.nodes[0].is_ready(), "two known records have not been read");
     simulation.deliver(0, Message::LogDown(Stream::Manifest));
     assert_eq!(simulation.generations[0], Vec::<u64>::new());
     simulation.log_down = false;
     while simulation.nodes[0].next_offset(Stream::Manifest) < 3 {
         simulation.read(0, Stream::Manifest);
     }
-    assert_eq!(simulation.generations[0], [3], "what was overtaken is never in force");
+    assert_eq!(simulation.generations[0], [3], "replaced generations are never in force");
     assert!(simulation.nodes[0].is_ready());
 }
 
-/// A daemon that had read the first page answered others that asked it for all that it had folded, and
-/// they put that in force.
+/// Guards against sending a partly read state in a snapshot. Peers would put its manifest in force.
 #[test]
 fn manifests_partly_read_are_not_in_snapshot() {
     let mut simulation = restart_without_log(2);
@@ -131,7 +130,7 @@
     assert_eq!(simulation.generations[1], Vec::<u64>::new());
 }
 
-/// What a peer has in force is enough where the log fails in the middle.
+/// A peer's manifest in force is enough if the log fails between two pages.
 #[test]
 fn manifests_partly_read_are_completed_by_peer() {
     let mut simulation = restart_without_log(2);
@@ -149,7 +148,7 @@
     simulation.append_record(Stream::Manifest, publish_record("second", 1, manifest_value("v2")));
     simulation.read(0, Stream::Manifest);
     simulation.read(0, Stream::Manifest);
-    // Node 1 reads nothing; only frames reach it.
+    // Node 1 does not read the log. It only gets frames.
     simulation.exchange_messages(100);
     assert_eq!(simulation.nodes[1].manifest.generation(), 2);
 }
@@ -174,9 +173,9 @@
     }
     let records = simulation.log[&Stream::Manifest].clone();
     let checkpoints = records.len() - 1;
-    // Time jumps here, so neither daemon sees the other as fresh: at most one each.
+    // Time jumps, and neither daemon counts the other as a live peer. Each writes at most one a quarter.
     assert!((5..=10).contains(&checkpoints), "{checkpoints} checkpoints in 5 quarters");
-    // The log has forgotten the publication; a new daemon without peers starts from a checkpoint.
+    // The log has dropped the publication. A new daemon without peers starts from a checkpoint.
     let kept: Vec<Record> = records.into_iter().skip(2).collect();
     let first = kept[0].offset;
     let read = Read { first, next: first + kept.len() as u64, retention_s: 1, records: kept };
@@ -192,8 +191,8 @@
     assert_eq!(isolated.nodes[0].manifest.generation(), 1);
 }
 
-/// Each digest of a peer with a newer manifest let the next ask go out at once. With 194 peers that is an ask
-/// at every tick, fifty a second, and each is answered with all that is known of keys.
+/// Guards against sending a snapshot request at each digest with a newer manifest. With 194 peers that would be
+/// one request per tick, fifty a second, each answered with all known keys.
 #[test]
 fn snapshot_request_rate_is_limited() {
     let mut simulation = Simulation::new(1, 1, Faults::default());
@@ -238,6 +237,6 @@
     simulation.append_record(Stream::Manifest, publish_record("broken", 1, broken));
     simulation.append_record(Stream::Manifest, publish_record("sound", 1, manifest_value("v2")));
     simulation.settle();
-    let force = simulation.nodes[0].manifest.force().expect("one is in force");
+    let force = simulation.nodes[0].manifest.force().expect("a manifest is in force");
     assert_eq!((force.generation, force.published.as_str()), (2, "sound"));
 }
--- a/src/control/tests/mod.rs
+++ b/src/control/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Several nodes in seeded message orders, with faults.
+//! Tests of several nodes under seeded message orders and faults.
 
 mod at_most_once;
 mod blocks;
--- a/src/control/tests/orders.rs
+++ b/src/control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The lease holder among several nodes: paused, replaced, cut off from the log.
+//! Orders of the lease holder while nodes pause, are replaced or lose the log.
 
 use super::simulation::{Faults, Simulation, manifest_value, publish_record};
 use crate::control::{Effect, Message, Stream};
@@ -8,7 +8,7 @@
 use crate::peer::{Digest, Frame};
 use crate::prelude::*;
 
-/// Nodes whose engines have `v1` while the manifest asks for `v2`.
+/// Returns nodes whose engines have `v1` while the manifest requires `v2`.
 fn simulation_before_switch(nodes: usize) -> Simulation {
     let mut simulation = Simulation::new(1, nodes, Faults::default());
     simulation.append_record(Stream::Manifest, publish_record("second", 1, manifest_value("v2")));
@@ -35,12 +35,12 @@
     }
 }
 
-/// Runs the nodes in `running` for `time`, with reads of the log and digests among them.
+/// Runs the nodes in `running` for `time`. They read the log and exchange frames.
 fn run_nodes(simulation: &mut Simulation, running: &[usize], time: Duration) {
     run_with_stale(simulation, running, &[], time);
 }
 
-/// Runs the nodes in `running`; those in `behind` can read all but manifests.
+/// Runs the nodes in `running`. Those in `stale` cannot read manifests.
 fn run_with_stale(simulation: &mut Simulation, running: &[usize], stale: &[usize], time: Duration) {
     let end = simulation.now + time;
     while simulation.now < end {
@@ -68,8 +68,8 @@
 #[test]
 fn one_holder_orders_after_a_second_ttl() {
     let mut simulation = simulation_before_switch(3);
-    // These engines do not check fencing numbers: nothing is ordered before the lease has been
-    // free for a TTL and a margin, and held for another TTL.
+    // These engines do not check fencing tokens. Orders wait until the lease has been free for a TTL
+    // and a margin, and held for another TTL.
     run_nodes(
         &mut simulation,
         &[0, 1, 2],
@@ -79,7 +79,7 @@
     run_nodes(&mut simulation, &[0, 1, 2], Duration::from_secs(3));
     let senders: BTreeSet<usize> = simulation.orders.iter().map(|(index, ..)| *index).collect();
     assert_eq!(senders.len(), 1);
-    assert_eq!(simulation.orders.len(), 2, "one an engine: {:?}", simulation.orders);
+    assert_eq!(simulation.orders.len(), 2, "one order per engine: {:?}", simulation.orders);
 }
 
 #[test]
@@ -89,15 +89,15 @@
     let (holder, _, order) = simulation.orders[0].clone();
     let others: Vec<usize> = (0..3).filter(|index| *index != holder).collect();
     simulation.orders.clear();
-    // The holder freezes; another takes over, with a higher fence.
+    // The holder freezes. Another node takes the lease with a higher fence.
     run_nodes(&mut simulation, &others, Duration::from_secs(50));
     let (second, _, second_order) = simulation.orders[0].clone();
     assert_ne!(second, holder);
     assert!(second_order.fence > order.fence);
-    // It wakes up: at its first tick it has read nothing, and must not act.
+    // The old holder resumes. It must not send orders before it has read the log.
     simulation.orders.clear();
     simulation.deliver(holder, Message::Tick);
-    assert!(simulation.orders.is_empty(), "a lease that ran out was acted upon");
+    assert!(simulation.orders.is_empty(), "orders were sent under an expired lease");
 }
 
 #[test]
@@ -112,7 +112,7 @@
     assert!(simulation.orders.is_empty(), "{:?}", simulation.orders);
 }
 
-/// A manifest whose engines check fences, so that versions are unloaded.
+/// Returns a manifest whose engines check fences. Only such engines get unload orders.
 fn fencing_manifest(version: &str, preload: &[&str]) -> serde_json::Value {
     let mut value = manifest_value(version);
     value["pools"]["model"]["checks_fencing"] = serde_json::json!(true);
@@ -125,9 +125,9 @@
     simulation.orders.iter().filter(|(_, _, order)| is_unload(order)).count()
 }
 
-/// The holder of the lease could read the lease but no manifests, and heard no peer. What its own manifest
-/// did not name it took for named by none, and after a minute it had engines unload the version that the next
-/// manifest had them load.
+/// Guards against unloading by a stale manifest. A holder that can read the lease but no manifests, and gets no
+/// digests, must not unload a version that its manifest doesn't name. Engines may have loaded it for a newer
+/// manifest.
 #[test]
 fn holder_without_manifests_unloads_nothing() {
     let mut simulation = Simulation::new(1, 1, Faults::default());
@@ -142,12 +142,12 @@
     run_with_stale(&mut simulation, &[0], &[0], Duration::from_secs(1));
     report_versions(&mut simulation, &["v2", "v3"]);
     run_with_stale(&mut simulation, &[0], &[0], Duration::from_secs(70));
-    assert!(simulation.nodes[0].lease.fence(simulation.now).is_some(), "it still holds the lease");
+    assert!(simulation.nodes[0].lease.fence(simulation.now).is_some(), "the node lost the lease");
     assert_eq!(count_unloads(&simulation), 0, "{:?}", simulation.orders);
 }
 
-/// A minute in force at the holder was taken for a minute in force everywhere: versions were unloaded under
-/// a daemon that still sent requests for them, its manifest being the one before.
+/// Guards against taking a minute in force at the holder for a minute in force everywhere. Versions would be
+/// unloaded while a daemon with the previous manifest still sends requests for them.
 #[test]
 fn version_used_by_stale_peer_is_not_unloaded() {
     let mut simulation = Simulation::new(1, 2, Faults::default());
@@ -161,7 +161,7 @@
         .append_record(Stream::Manifest, publish_record("third", 2, fencing_manifest("v2", &[])));
     simulation.faults.frame_percent = 100;
     run_with_stale(&mut simulation, &[0, 1], &[1], Duration::from_secs(58));
-    // They hear each other again, and only the one that is behind is not told more than digests.
+    // Digests of the stale node arrive again, but it still has no newer manifest.
     simulation.faults.frame_percent = 0;
     for _ in 0..100 {
         let digest = Digest { daemon: "router-1".into(), generation: 2, ..Digest::default() };
@@ -169,13 +169,13 @@
         run_with_stale(&mut simulation, &[0], &[], Duration::from_millis(250));
     }
     assert_eq!(count_unloads(&simulation), 0, "{:?}", simulation.orders);
-    // Once it has the manifest too, or is not heard any more, they are unloaded.
+    // Versions are unloaded once the stale node has the manifest too or its digests expire.
     run_with_stale(&mut simulation, &[0], &[], Duration::from_secs(10));
     assert!(count_unloads(&simulation) > 0);
 }
 
-/// An engine had carried an order out; what it had reported before that counted as what it has, and the order
-/// was given again at the next tick, and took a place among those that load at a time.
+/// Guards against comparing with a report from before the order was completed. The order would be sent again at
+/// the next tick and take one of the slots for concurrent loads.
 #[test]
 fn order_completed_is_not_repeated_on_old_report() {
     let mut simulation = simulation_before_switch(1);
@@ -190,11 +190,11 @@
     for engine in engines {
         let effects = simulation.nodes[0].apply(simulation.now, Message::Ordered(engine, true));
         let has_poll = effects.iter().any(|effect| matches!(effect, Effect::Poll { .. }));
-        assert!(has_poll, "it is asked at once: {effects:?}");
+        assert!(has_poll, "the engine is polled at once: {effects:?}");
     }
     run_nodes(&mut simulation, &[0], Duration::from_millis(500));
     assert_eq!(simulation.orders.len(), 2, "{:?}", simulation.orders);
-    // One that has lost the version all the same is ordered again.
+    // Engines whose new report lacks the version get the order again.
     report_versions(&mut simulation, &["v1"]);
     run_nodes(&mut simulation, &[0], Duration::from_millis(500));
     assert_eq!(simulation.orders.len(), 4, "{:?}", simulation.orders);
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Engines that restart, freeze, leave and fail, and what a node does with their requests.
+//! Handling of requests when engines restart, freeze, drain or fail.
 
 use super::simulation::{Faults, Simulation, manifest_value, publish_record};
 use crate::attempt::{self, Arrival, Command, Dispatch, Outcome, Report, Target};
@@ -125,14 +125,17 @@
 fn restart_drops_residency() {
     let mut fixture = Fixture::new();
     let (request, effects) = fixture.send_request("w", "v1");
-    let first = find_dispatch(&effects).expect("it is dispatched").clone();
+    let first = find_dispatch(&effects).expect("the request is dispatched").clone();
     fixture.begin_answer(request, 1);
     fixture.end_attempt(request, 1, Outcome::Complete(None));
     assert_eq!(fixture.simulation.nodes[0].residency.len(), 8);
     let mut restarted = report("two", "v1");
     restarted.from = 5;
     fixture.deliver_report(&first.id, restarted);
-    assert!(fixture.simulation.nodes[0].residency.is_empty(), "entries of a dead engine");
+    assert!(
+        fixture.simulation.nodes[0].residency.is_empty(),
+        "entries of a replaced incarnation remain"
+    );
 }
 
 #[test]
@@ -152,7 +155,7 @@
     let mut fixture = Fixture::new();
     let salt = root(Scope { workspace: "w", model: "m", weights: "v1", adapter: "" });
     let prefix = Prefix::new(salt, "p".repeat(8 * BLOCK_BYTES).as_bytes(), &[]);
-    let level = prefix.level(0).expect("a level");
+    let level = prefix.level(0).expect("the prefix has a level");
     for (incarnation, expected_holders) in [("one", 1), ("two", 0)] {
         let copy = Copy { level, server: "engine-1".into(), incarnation: incarnation.into() };
         let digest = Digest { daemon: "router-9".into(), copies: vec![copy], ..Digest::default() };
@@ -176,7 +179,11 @@
     let gap = crate::membership::Report { from: 2, next_seq: 5, events, ..report("one", "v1") };
     fixture.deliver_report("engine-0", gap);
     let depth = fixture.simulation.nodes[0].residency.depth(&[Key(4)]);
-    assert_eq!(fixture.simulation.nodes[0].residency.len(), 1, "only what came after the gap");
+    assert_eq!(
+        fixture.simulation.nodes[0].residency.len(),
+        1,
+        "only entries from after the gap remain"
+    );
     assert_eq!(depth.len(), 1);
 }
 
@@ -187,7 +194,7 @@
     assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::NotRun)));
 }
 
-/// Puts `v2` in force, and has a node whose engines last reported `v1` asked for it.
+/// Puts `v2` in force and requests it from a node whose engines last reported `v1`.
 fn send_request_after_switch(fixture: &mut Fixture) -> (attempt::Key, Vec<Effect>) {
     fixture.simulation.now += Duration::from_millis(100);
     fixture
@@ -208,22 +215,21 @@
     crate::membership::Report { weights, ..report(incarnation, "v1") }
 }
 
-/// Operators saw on one daemon that all engines had the new weights, and put them in force. Another
-/// daemon had last asked the engines a part of a second before they had loaded them. It took what it
-/// had heard then for what they have now, and refused until its next polls, up to 500 ms later:
-/// `left: 503, right: 200`, with 2002, "No live backend server serves this now".
+/// Guards against refusing on reports from before a switch. Operators put weights in force once one daemon
+/// reports that all engines have them. Another daemon may have polled the engines just before they loaded
+/// them. It would refuse with 503 and code 2002 until its next polls, up to 500 ms later.
 #[test]
 fn weights_loaded_since_the_last_report_are_served() {
     let mut fixture = Fixture::new();
     let (_, effects) = send_request_after_switch(&mut fixture);
-    assert_eq!(find_refusal(&effects), None, "no engine has been asked since v2 came into force");
+    assert_eq!(find_refusal(&effects), None, "no engine has been polled since v2 came into force");
     assert_eq!(count_polls(&effects), 2, "{effects:?}");
     let effects = fixture.deliver_report("engine-1", report_with_both_versions("one"));
     assert_eq!(find_dispatch(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
 }
 
-/// A daemon that started had heard one engine of a pool, which had not loaded the new weights yet, and
-/// took that one for the pool: it refused what the other, not heard yet, would have served.
+/// Guards against judging a pool by one engine. A daemon that just started has polled only an engine without
+/// the new weights. It must not refuse a request that the other engine could serve.
 #[test]
 fn weights_at_unpolled_engine_are_served() {
     let mut fixture =
@@ -231,20 +237,20 @@
     fixture.deliver_report("engine-0", report("one", "v1"));
     assert!(fixture.simulation.nodes[0].is_ready());
     let (_, effects) = send_request_after_switch(&mut fixture);
-    assert_eq!(find_refusal(&effects), None, "engine-1 has not been heard");
+    assert_eq!(find_refusal(&effects), None, "engine-1 has not been polled");
     fixture.deliver_report("engine-0", report("one", "v1"));
     let effects = fixture.deliver_report("engine-1", report("one", "v2"));
     assert_eq!(find_dispatch(&effects).map(|dispatch| dispatch.id.as_str()), Some("engine-1"));
 }
 
-/// Once every engine has been asked since, or in vain, no more is waited for.
+/// A request is refused once every engine has been polled since the switch, or its poll has failed.
 #[test]
 fn weights_unserved_are_refused_once_all_engines_polled() {
     let mut fixture = Fixture::new();
     let (_, effects) = send_request_after_switch(&mut fixture);
-    assert_eq!(find_refusal(&effects), None, "not all have been asked since");
+    assert_eq!(find_refusal(&effects), None, "no engine has been polled since the switch");
     let effects = fixture.deliver_report("engine-0", report("one", "v1"));
-    assert_eq!(find_refusal(&effects), None, "one engine is not all");
+    assert_eq!(find_refusal(&effects), None, "engine-1 has not been polled since the switch");
     let server = fixture.simulation.server_key(0, "engine-1");
     let effects = fixture.apply(Message::PollFailed(server));
     assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::NotRun)));
@@ -252,7 +258,7 @@
     assert_eq!(find_refusal(&effects), Some((Code::NoServer, Execution::NotRun)));
 }
 
-/// A poll that was on its way when the weights came into force may tell of before.
+/// A poll that was in flight when the weights came into force may report the state before.
 #[test]
 fn report_from_before_switch_is_not_conclusive() {
     let mut fixture = Fixture::new();
@@ -265,7 +271,7 @@
         assert_eq!(
             (find_refusal(&effects), count_polls(&effects)),
             (None, 1),
-            "{id} is asked again"
+            "{id} is polled again"
         );
     }
     let effects = fixture.deliver_report("engine-0", report_with_both_versions("one"));
@@ -273,7 +279,7 @@
     fixture.end_attempt(request, 1, Outcome::Complete(None));
 }
 
-/// An engine that is frozen holds a request no longer than the request's own time.
+/// A frozen engine delays a request no longer than until its deadline.
 #[test]
 fn request_waiting_for_reports_ends_at_deadline() {
     let mut fixture = Fixture::new();
@@ -306,21 +312,21 @@
                 fixture.apply(Message::Frame(Frame::Digest(digest)));
             }
         }
-        // The VM list lags and still calls it live.
+        // The VM list lags and still shows the server as live.
         let vms = fixture.simulation.vms();
         fixture.apply(Message::VmList(vms));
         for text in ["a", "b", "c", "d", "e", "f"] {
             let (request, effects) = fixture.send_prompt(text, "w", "v1");
-            let dispatch = find_dispatch(&effects).expect("it is dispatched");
+            let dispatch = find_dispatch(&effects).expect("the request is dispatched");
             assert_eq!(dispatch.id, "engine-1", "source {source}");
             fixture.end_attempt(request, 1, Outcome::Complete(None));
         }
     }
 }
 
-/// A daemon that had just started heard from a peer which servers leave before it had read the VM list, and
-/// dropped the word, since it knew none of them yet. The list lagged: until the peer's next digest it gave
-/// them new work, and for good where the peer stopped then.
+/// Guards against dropping a digest's draining servers that are not known yet. A daemon that just started may
+/// get the digest before the VM list, which can lag. It would send them requests until the peer's next digest,
+/// and without end if the peer stops.
 #[test]
 fn draining_server_listed_late_gets_no_requests() {
     let mut fixture =
@@ -345,25 +351,28 @@
 fn unreachable_engine_aborts_attempts() {
     let mut fixture = Fixture::new();
     let (request, effects) = fixture.send_request("w", "v1");
-    let server = find_dispatch(&effects).expect("it is dispatched").server;
+    let server = find_dispatch(&effects).expect("the request is dispatched").server;
     fixture.apply(Message::PollFailed(server));
     let effects = fixture.apply(Message::PollFailed(server));
     assert_eq!(commands(&effects), [&Command::Abort(1)]);
     let effects = fixture.end_attempt(request, 1, Outcome::Broken("aborted".into()));
-    assert_ne!(find_dispatch(&effects).expect("it is tried elsewhere").server, server);
+    assert_ne!(
+        find_dispatch(&effects).expect("the request is retried on another server").server,
+        server
+    );
 }
 
 #[test]
 fn broken_stream_resumes_then_continues_elsewhere() {
     let mut fixture = Fixture::new();
     let (request, effects) = fixture.send_request("w", "v1");
-    let server = find_dispatch(&effects).expect("it is dispatched").server;
+    let server = find_dispatch(&effects).expect("the request is dispatched").server;
     fixture.begin_answer(request, 1);
     let effects = fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
-    let second = find_dispatch(&effects).expect("it is resumed").clone();
+    let second = find_dispatch(&effects).expect("the stream is resumed").clone();
     assert!(second.resume && second.server == server);
     let effects = fixture.end_attempt(request, 2, Outcome::Broken("cut again".into()));
-    let third = find_dispatch(&effects).expect("it is continued").clone();
+    let third = find_dispatch(&effects).expect("the stream is continued").clone();
     assert!(!third.resume && third.server != server);
     fixture.end_attempt(request, 3, Outcome::Broken("cut".into()));
     let effects = fixture.end_attempt(request, 4, Outcome::Broken("cut".into()));
@@ -399,7 +408,7 @@
             }
         }
     }
-    panic!("it was never given up");
+    panic!("the request was never refused");
 }
 
 #[test]
@@ -422,7 +431,7 @@
     fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
     let effects = fixture.end_attempt(request, 1, Outcome::Complete(None));
     assert_eq!(effects, []);
-    assert!(fixture.simulation.nodes[0].is_open(request), "the second attempt is still under way");
+    assert!(fixture.simulation.nodes[0].is_open(request), "the second attempt is still running");
 }
 
 #[test]
@@ -452,7 +461,7 @@
     for number in 0..5 {
         let (request, _) = fixture.send_request("w", "v1");
         let effects = fixture.end_attempt(request, 1, Outcome::Broken("cut".into()));
-        assert!(find_dispatch(&effects).is_some(), "retry {number} is not left");
+        assert!(find_dispatch(&effects).is_some(), "retry {number} is not allowed");
         fixture.end_attempt(request, 2, Outcome::Complete(None));
     }
 }
@@ -460,7 +469,7 @@
 #[test]
 fn ready_once_engines_answered_or_failed() {
     let mut simulation = Simulation::new(1, 1, Faults::default());
-    assert!(!simulation.nodes[0].is_ready(), "nothing could be served yet");
+    assert!(!simulation.nodes[0].is_ready(), "no engine has been polled");
     let servers = ["engine-0", "engine-1"].map(|id| simulation.server_key(0, id));
     simulation.nodes[0]
         .apply(simulation.now, Message::Polled(servers[0], Box::new(report("one", "v1"))));
@@ -469,12 +478,12 @@
     for server in servers {
         simulation.nodes[0].apply(simulation.now, Message::PollFailed(server));
     }
-    assert!(simulation.nodes[0].is_ready(), "a pool that is down holds nothing else back");
+    assert!(simulation.nodes[0].is_ready(), "a pool that is down does not delay readiness");
 }
 
-/// What is blocked for ending servers is kept on a stream of its own, and peers tell of it only until the
-/// stream has it. A daemon that started was ready once it knew manifest and engines, and sent a request that
-/// was blocked to the next engine before it had read that stream.
+/// Guards against sending a blocked request before the stream of blocks has been read. Blocks have a stream of
+/// their own, and peers report them only until the stream has them. Manifest and engines are thus not enough
+/// for a daemon that just started to be ready.
 #[test]
 fn ready_once_blocked_requests_are_known() {
     let mut simulation = Simulation::new(1, 1, Faults::default());
@@ -491,11 +500,11 @@
     for server in servers {
         simulation.deliver(0, Message::Polled(server, Box::new(report("one", "v1"))));
     }
-    assert!(simulation.nodes[0].is_ready(), "a stream that can't be read holds nothing back");
+    assert!(simulation.nodes[0].is_ready(), "an unreadable stream does not delay readiness");
     let first = simulation.log[&Stream::Blocked][..1].to_vec();
     let page = Read { first: 0, next: 2, retention_s: 1_000, records: first };
     simulation.deliver(0, Message::Records(Stream::Blocked, page));
-    assert!(!simulation.nodes[0].is_ready(), "one of two records is not all");
+    assert!(!simulation.nodes[0].is_ready(), "one of two records has not been read");
     simulation.read(0, Stream::Blocked);
     assert!(simulation.nodes[0].is_ready());
 }
@@ -506,10 +515,10 @@
     let mut node = simulation.nodes.remove(0);
     node.readings.remove(&Stream::Blocked);
     for id in ["engine-0", "engine-1"] {
-        let server = node.membership.find(id).expect("it is listed");
+        let server = node.membership.find(id).expect("the VM list has the server");
         node.apply(simulation.now, Message::Polled(server, Box::new(report("one", "v1"))));
     }
-    assert!(!node.is_ready(), "its first read has neither come nor failed");
+    assert!(!node.is_ready(), "the first read has neither succeeded nor failed");
     node.apply(simulation.now, Message::LogDown(Stream::Blocked));
     assert!(node.is_ready());
 }
@@ -523,14 +532,14 @@
     assert!(!simulation.nodes[0].is_drained());
     simulation.settle();
     assert!(simulation.nodes[0].is_drained());
-    assert_eq!(simulation.runs.len(), 1, "the request was not cut");
+    assert_eq!(simulation.runs.len(), 1, "the request did not run to its end");
 }
 
-/// Number asked for, next number, and events: number, whether stored, block.
+/// Requested sequence number, next sequence number, and events as (sequence number, stored, block).
 type ReportParts = (u64, u64, Vec<(u64, bool, u8)>);
 
 quickcheck::quickcheck! {
-    /// Reports with any events, in any order, never panic, and hold no more than they named.
+    /// Reports with any events never cause a panic or more residency entries than they name.
     fn report_any_events(reports: Vec<ReportParts>) -> bool {
         let mut fixture = Fixture::new();
         let mut named_count = 0;
--- a/src/control/tests/simulation.rs
+++ b/src/control/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! A small world of nodes, one log, one plain service and an engine or two, in virtual time.
+//! Simulation of nodes, a log, a service and two engines in virtual time.
 //!
-//! Everything that a node asks for becomes an action that happens at a random later step, is
-//! lost, or happens without its answer. The same seed gives the same history.
+//! Most effects of a node become pending actions, performed at a random later step. Faults drop
+//! an action or only its answer. The same seed gives the same history.
 
 use std::net::SocketAddr;
 
@@ -15,43 +15,43 @@
 use crate::prefix::Prefix;
 use crate::prelude::*;
 
-/// Seconds for which the log keeps records.
+/// Time for which the log keeps records.
 pub const RETENTION_S: u64 = 100_000;
 
-/// What a request was answered with.
+/// Answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The service's own answer: the number of the run.
+    /// The service answered. Holds the number of the run.
     Run(u64),
-    /// The receipt that was remembered.
+    /// The router replayed a stored receipt.
     Replay(ledger::Receipt),
-    /// The router's own.
+    /// The router refused the request.
     Refused(Code, Execution),
 }
 
-/// Something that will happen.
+/// Action that a later step performs.
 #[derive(Debug, Clone)]
 pub enum PendingAction {
-    /// A record lands on the log.
+    /// Append a record to the log.
     Append(Stream, String),
-    /// A message reaches a node, if the incarnation still runs.
+    /// Deliver a message to a node if this incarnation still runs.
     Deliver(usize, u64, Box<Message>),
-    /// A dispatched request reaches the service.
+    /// Run a dispatched request at the service.
     Run(usize, u64, attempt::Key, Box<attempt::Dispatch>),
 }
 
-/// How likely faults are, each in a hundred.
+/// Probabilities of faults.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// An append is refused, or lost, or lands late.
+    /// An append is refused, lost, late, or written without an answer.
     pub append_percent: u32,
-    /// A run's answer is lost, or the request never leaves.
+    /// The answer of a run is lost or the request is never sent.
     pub run_percent: u32,
     /// A frame is lost.
     pub frame_percent: u32,
-    /// A node is killed and started again, each step in a thousand.
+    /// A node is killed and restarted, per step.
     pub restart_per_mille: u32,
-    /// A node does not run for a while, each step in a thousand.
+    /// A node pauses for up to 3 s, per step.
     pub pause_per_mille: u32,
 }
 
@@ -65,15 +65,15 @@
     pub pending: Vec<PendingAction>,
     pub faults: Faults,
     pub log_down: bool,
-    /// The key of every request, by request.
+    /// Idempotency key of each request. Empty if it has none.
     pub keys_by_request: BTreeMap<attempt::Key, String>,
     pub answers: BTreeMap<attempt::Key, Answer>,
-    /// The requests that ran, in order, with their keys.
+    /// Requests that ran, in order, with their idempotency keys.
     pub runs: Vec<(attempt::Key, String)>,
-    /// Generations that each node had in force, in order.
+    /// Manifest generations that each node put in force since its start, in order.
     pub generations: Vec<Vec<u64>>,
     pub events: Vec<(usize, Event)>,
-    /// Orders that were given: by which node, to which engine.
+    /// Orders sent, with the sending node and the engine.
     pub orders: Vec<(usize, membership::Key, Order)>,
     next_request: u64,
 }
@@ -124,7 +124,7 @@
 }
 
 impl Simulation {
-    /// A world of `count` nodes that have read the manifest and the VM list.
+    /// A simulation of `count` nodes that have read the manifest and the VM list.
     pub fn new(seed: u64, count: usize, faults: Faults) -> Self {
         let mut simulation = Self {
             rng: fastrand::Rng::with_seed(seed),
@@ -168,7 +168,7 @@
         Node::new(identity, Policy::default())
     }
 
-    /// What a node learns right after its start.
+    /// Delivers the VM list and a first read of each stream to a node.
     pub fn boot(&mut self, index: usize) {
         self.deliver(index, Message::VmList(self.vms()));
         self.read(index, Stream::Manifest);
@@ -216,7 +216,8 @@
         }
     }
 
-    /// Ticks of all nodes, each round's messages delivered between them, and nothing read.
+    /// Ticks all nodes and delivers their pending messages, without reading the log. Drops other
+    /// pending actions.
     pub fn exchange_messages(&mut self, rounds: usize) {
         for _ in 0..rounds {
             for index in 0..self.nodes.len() {
@@ -255,7 +256,7 @@
                 self.schedule_message(index, Message::PollFailed(server))
             }
             Effect::AppendBlocked(text) => self.append_record(Stream::Blocked, text),
-            // No server ends here: answers are lost.
+            // Servers don't crash in this simulation. Only answers are lost.
             Effect::Probe(incarnation, _) => {
                 self.schedule_message(index, Message::Probed(incarnation, poison::Answer::Accepted))
             }
@@ -278,9 +279,9 @@
             _ => AppendResult::Unknown,
         };
         match fault {
-            // Written, and its answer lost.
+            // Written. In case 2 the answer is lost.
             0 | 2 => self.append_record(Stream::Ledger, text),
-            // Lands at some later time, or never.
+            // Written at a later time or never.
             3 => self.pending.push(PendingAction::Append(Stream::Ledger, text)),
             _ => {}
         }
@@ -309,10 +310,10 @@
 
     fn record_answer(&mut self, request: attempt::Key, answer: Answer) {
         let previous = self.answers.insert(request, answer);
-        assert_eq!(previous, None, "{request:?} was answered twice");
+        assert_eq!(previous, None, "{request:?} got a second answer");
     }
 
-    /// A payment with this key arrives at a node.
+    /// Sends a payment with this idempotency key to a node.
     pub fn send_payment(&mut self, index: usize, key: Option<&str>) -> attempt::Key {
         let request = attempt::Key(self.next_request);
         self.next_request += 1;
@@ -341,7 +342,7 @@
         request
     }
 
-    /// Lets one random thing happen.
+    /// Performs one random event.
     pub fn step(&mut self) {
         self.now += Duration::from_millis(self.rng.u64(0..20));
         let index = self.rng.usize(0..self.nodes.len());
@@ -363,7 +364,7 @@
         self.now < self.paused_until[index]
     }
 
-    /// Kills a node and starts it again at once, knowing nothing.
+    /// Kills a node and restarts it at once with empty state.
     pub fn restart(&mut self, index: usize) {
         self.incarnations[index] += 1;
         self.nodes[index] = self.new_node(index);
@@ -401,7 +402,7 @@
         }
     }
 
-    /// What traffic does with a dispatch: the deadline is looked at right before sending.
+    /// Simulates the traffic side. It checks the deadline right before sending.
     fn run_request(
         &mut self,
         index: usize,
@@ -410,7 +411,7 @@
         dispatch: &attempt::Dispatch,
     ) {
         let is_running = self.incarnations[index] == incarnation;
-        // A killed daemon's request may have left before, or not at all.
+        // A killed daemon may or may not have sent the request before.
         if !is_running && self.rng.bool() {
             return;
         }
@@ -442,7 +443,7 @@
         ledger::Receipt { status: 200, content_type: String::new(), body: Some(run.to_string()) }
     }
 
-    /// Lets everything that is under way come to its end, without further faults.
+    /// Ends all faults and runs the nodes for 40 rounds, which completes pending work.
     pub fn settle(&mut self) {
         self.faults = Faults::default();
         self.log_down = false;
@@ -462,8 +463,8 @@
         }
     }
 
-    /// The key of the server with this id at a node.
+    /// Returns a node's key for the server with this id.
     pub fn server_key(&self, index: usize, id: &str) -> membership::Key {
-        self.nodes[index].membership.find(id).expect("the server is listed")
+        self.nodes[index].membership.find(id).expect("the VM list has the server")
     }
 }
