--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -9,7 +9,7 @@
 use cardamomvalve::ledger;
 use cardamomvalve::manifest::{self, Objective, Priority};
 use cardamomvalve::membership::{CacheEvent, Change, Report, Role, Standing, Vm};
-use cardamomvalve::peer::{Busy, Digest, Frame};
+use cardamomvalve::peer::{Digest, Frame, Load};
 use cardamomvalve::poison::Fingerprint;
 use cardamomvalve::prefix::{BLOCK_BYTES, Key, Prefix, Residency};
 use divan::Bencher;
@@ -240,15 +240,15 @@
 
 fn digest(busy: usize) -> Digest {
     let entry =
-        |index: usize| (format!("engine-{index:05}"), Busy { requests: 3, pending_tokens: 9 });
+        |index: usize| (format!("engine-{index:05}"), Load { requests: 3, pending_tokens: 9 });
     Digest {
         daemon: "router-1".into(),
         incarnation: 1,
         generation: 1,
-        busy: (0..busy).map(entry).collect(),
+        loads: (0..busy).map(entry).collect(),
         heat: (0..32).map(|level| (Key(level), 1.0)).collect(),
         copies: Vec::new(),
-        leaving: Vec::new(),
+        draining_servers: Vec::new(),
         draining: false,
         blocked: Vec::new(),
         ledger_next: 0,
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -147,10 +147,10 @@
     }
 
     /// Work at a server from this daemon and, by their digests, from live peers.
-    pub(super) fn total_load(&self, now: Time, key: membership::Key, id: &str) -> peer::Busy {
+    pub(super) fn total_load(&self, now: Time, key: membership::Key, id: &str) -> peer::Load {
         let mut sum = self.busy.get(&key).copied().unwrap_or_default();
         for digest in self.live_peers(now) {
-            if let Some(busy) = digest.busy.get(id) {
+            if let Some(busy) = digest.loads.get(id) {
                 sum.requests = sum.requests.saturating_add(busy.requests);
                 sum.pending_tokens = sum.pending_tokens.saturating_add(busy.pending_tokens);
             }
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -131,7 +131,7 @@
     pub(super) queues: BTreeMap<String, Queue>,
     pub(super) averages: BTreeMap<String, Averages>,
     pub(super) requests: BTreeMap<attempt::Key, Request>,
-    pub(super) busy: BTreeMap<membership::Key, peer::Busy>,
+    pub(super) busy: BTreeMap<membership::Key, peer::Load>,
     pub(super) budget: Budget,
     pub(super) lease: lease::State,
     /// When the order that an engine is executing was sent.
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -6,7 +6,7 @@
 use super::{Effect, Node, Stream};
 use crate::ledger;
 use crate::manifest;
-use crate::peer::{Busy, Copy, Digest, Frame, Snapshot};
+use crate::peer::{Copy, Digest, Frame, Load, Snapshot};
 use crate::prelude::*;
 
 /// Maximum number of first levels in a digest.
@@ -51,7 +51,7 @@
     }
 
     fn digest(&self, now: Time) -> Digest {
-        let busy: BTreeMap<String, Busy> = self
+        let busy: BTreeMap<String, Load> = self
             .busy
             .iter()
             .filter_map(|(key, busy)| Some((self.membership.get(*key)?.vm.id.clone(), *busy)))
@@ -66,10 +66,10 @@
             daemon: self.identity.id.clone(),
             incarnation: self.identity.incarnation,
             generation: self.generation(),
-            busy,
+            loads: busy,
             heat: self.heat.top(now, MAX_DIGEST_LEVELS),
             copies: self.recent_copies(now),
-            leaving,
+            draining_servers: leaving,
             draining: self.draining,
             blocked: self.poison.unstored_blocks(now),
             ledger_next: self.ledger.next(),
@@ -114,7 +114,7 @@
             .map(|digest| digest.daemon.clone());
         for (id, address) in self.peer_addresses() {
             if newest.as_ref().is_none_or(|newest| *newest == id) {
-                let frame = Frame::Ask(self.identity.id.clone());
+                let frame = Frame::SnapshotRequest(self.identity.id.clone());
                 self.effects.push(Effect::Send(address, frame));
             }
         }
@@ -123,7 +123,7 @@
     pub(super) fn handle_frame(&mut self, now: Time, frame: Frame) {
         match frame {
             Frame::Digest(digest) => self.handle_digest(now, digest),
-            Frame::Ask(daemon) => self.send_snapshot(now, &daemon),
+            Frame::SnapshotRequest(daemon) => self.send_snapshot(now, &daemon),
             Frame::Snapshot(snapshot) => self.merge_snapshot(now, snapshot),
             Frame::Poison(message) => self.handle_poison_message(now, message),
         }
@@ -133,7 +133,7 @@
         if digest.daemon == self.identity.id {
             return;
         }
-        for id in &digest.leaving {
+        for id in &digest.draining_servers {
             let notices = self.membership.leaves(id).into_iter().collect();
             self.apply_notices(now, notices);
         }
--- a/src/control/tests/manifests.rs
+++ b/src/control/tests/manifests.rs
@@ -206,7 +206,7 @@
         simulation.nodes[0].apply(simulation.now, Message::VmList(router_vms(194)));
         let effects = simulation.nodes[0].apply(simulation.now, Message::Tick);
         let is_snapshot_request =
-            |effect: &&Effect| matches!(effect, Effect::Send(_, Frame::Ask(_)));
+            |effect: &&Effect| matches!(effect, Effect::Send(_, Frame::SnapshotRequest(_)));
         snapshot_requests += effects.iter().filter(is_snapshot_request).count();
         simulation.now += Duration::from_millis(20);
     }
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -303,12 +303,13 @@
                 fixture.apply(Message::VmList(vms));
             }
             1 => {
-                let leaving = crate::membership::Report { leaving: true, ..report("one", "v1") };
-                fixture.deliver_report("engine-0", leaving);
+                let draining = crate::membership::Report { leaving: true, ..report("one", "v1") };
+                fixture.deliver_report("engine-0", draining);
             }
             _ => {
-                let leaving = vec!["engine-0".to_owned()];
-                let digest = Digest { daemon: "router-9".into(), leaving, ..Digest::default() };
+                let draining_servers = vec!["engine-0".to_owned()];
+                let digest =
+                    Digest { daemon: "router-9".into(), draining_servers, ..Digest::default() };
                 fixture.apply(Message::Frame(Frame::Digest(digest)));
             }
         }
@@ -333,8 +334,8 @@
         Fixture { simulation: Simulation::new(1, 1, Faults::default()), next_request: 0 };
     let vms = fixture.simulation.vms();
     fixture.apply(Message::VmList(Vec::new()));
-    let leaving = vec!["engine-0".to_owned()];
-    let digest = Digest { daemon: "router-9".into(), leaving, ..Digest::default() };
+    let draining_servers = vec!["engine-0".to_owned()];
+    let digest = Digest { daemon: "router-9".into(), draining_servers, ..Digest::default() };
     fixture.apply(Message::Frame(Frame::Digest(digest)));
     fixture.apply(Message::VmList(vms));
     for id in ["engine-0", "engine-1"] {
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -10,11 +10,11 @@
 use crate::prelude::*;
 
 /// Largest frame that is read, in bytes.
-pub const MAX_FRAME: usize = 64 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 /// Work that one daemon has at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Busy {
+pub struct Load {
     /// Requests in flight.
     pub requests: u32,
     /// Prompt tokens still to be computed for them.
@@ -42,13 +42,13 @@
     /// The generation of the manifest in force there.
     pub generation: u64,
     /// Its work by server id.
-    pub busy: BTreeMap<String, Busy>,
+    pub loads: BTreeMap<String, Load>,
     /// Its hottest first levels, with their rates.
     pub heat: Vec<(prefix::Key, f64)>,
     /// First levels that it has lately sent somewhere to be computed.
     pub copies: Vec<Copy>,
     /// Servers that it knows to be leaving.
-    pub leaving: Vec<String>,
+    pub draining_servers: Vec<String>,
     /// Whether the daemon itself is stopping.
     pub draining: bool,
     /// Requests that are blocked and that the log is not known to keep yet.
@@ -84,7 +84,7 @@
     /// A daemon's digest.
     Digest(Digest),
     /// Asks for a snapshot, to be sent to the asking daemon.
-    Ask(String),
+    SnapshotRequest(String),
     /// A snapshot.
     Snapshot(Snapshot),
     /// On requests that end servers.
@@ -95,7 +95,7 @@
     //! The prost types.
 
     #[derive(Clone, PartialEq, prost::Message)]
-    pub struct Busy {
+    pub struct Load {
         #[prost(string, tag = "1")]
         pub server: String,
         #[prost(uint32, tag = "2")]
@@ -131,11 +131,11 @@
         #[prost(uint64, tag = "3")]
         pub generation: u64,
         #[prost(message, repeated, tag = "4")]
-        pub busy: Vec<Busy>,
+        pub loads: Vec<Load>,
         #[prost(message, repeated, tag = "5")]
         pub heat: Vec<Heat>,
         #[prost(string, repeated, tag = "6")]
-        pub leaving: Vec<String>,
+        pub draining_servers: Vec<String>,
         #[prost(bool, tag = "7")]
         pub draining: bool,
         #[prost(message, repeated, tag = "8")]
@@ -181,7 +181,7 @@
         #[prost(message, tag = "1")]
         Digest(Digest),
         #[prost(string, tag = "2")]
-        Ask(String),
+        SnapshotRequest(String),
         #[prost(message, tag = "3")]
         Snapshot(Snapshot),
         #[prost(message, tag = "4")]
@@ -210,7 +210,7 @@
     fn from(frame: Frame) -> Self {
         let body = match frame {
             Frame::Digest(digest) => wire::Body::Digest(digest.into()),
-            Frame::Ask(daemon) => wire::Body::Ask(daemon),
+            Frame::SnapshotRequest(daemon) => wire::Body::SnapshotRequest(daemon),
             Frame::Snapshot(snapshot) => wire::Body::Snapshot(snapshot.into()),
             Frame::Poison(message) => wire::Body::Poison(message.into()),
         };
@@ -224,7 +224,7 @@
     fn try_from(frame: wire::Frame) -> Result<Self, Malformed> {
         match frame.body.ok_or_else(|| Malformed("the frame is empty".into()))? {
             wire::Body::Digest(digest) => Ok(Self::Digest(digest.try_into()?)),
-            wire::Body::Ask(daemon) => Ok(Self::Ask(daemon)),
+            wire::Body::SnapshotRequest(daemon) => Ok(Self::SnapshotRequest(daemon)),
             wire::Body::Snapshot(snapshot) => Ok(Self::Snapshot(snapshot.into())),
             wire::Body::Poison(message) => Ok(Self::Poison(message.into())),
         }
@@ -234,10 +234,10 @@
 impl From<Digest> for wire::Digest {
     fn from(digest: Digest) -> Self {
         let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
-        let busy = digest.busy.into_iter().map(|(server, busy)| wire::Busy {
+        let loads = digest.loads.into_iter().map(|(server, load)| wire::Load {
             server,
-            requests: busy.requests,
-            pending_tokens: busy.pending_tokens,
+            requests: load.requests,
+            pending_tokens: load.pending_tokens,
         });
         let heat = digest
             .heat
@@ -247,9 +247,9 @@
             daemon: digest.daemon,
             incarnation: digest.incarnation,
             generation: digest.generation,
-            busy: busy.collect(),
+            loads: loads.collect(),
             heat: heat.collect(),
-            leaving: digest.leaving,
+            draining_servers: digest.draining_servers,
             draining: digest.draining,
             copies: digest.copies.into_iter().map(wire::Copy::from).collect(),
             blocked,
@@ -270,8 +270,8 @@
         if !digest.heat.iter().all(valid) {
             return Err(Malformed("a rate is no finite number from 0".into()));
         }
-        let busy = digest.busy.into_iter().map(|busy| {
-            (busy.server, Busy { requests: busy.requests, pending_tokens: busy.pending_tokens })
+        let loads = digest.loads.into_iter().map(|load| {
+            (load.server, Load { requests: load.requests, pending_tokens: load.pending_tokens })
         });
         let heat =
             digest.heat.into_iter().map(|heat| (prefix::Key(heat.level), f64::from(heat.rate)));
@@ -279,9 +279,9 @@
             daemon: digest.daemon,
             incarnation: digest.incarnation,
             generation: digest.generation,
-            busy: busy.collect(),
+            loads: loads.collect(),
             heat: heat.collect(),
-            leaving: digest.leaving,
+            draining_servers: digest.draining_servers,
             draining: digest.draining,
             copies: digest.copies.into_iter().map(Copy::from).collect(),
             blocked: poison::blocks_from_wire(digest.blocked, digest.blocked_ages_ms),
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -11,22 +11,22 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tokio_util::compat::{FuturesAsyncReadCompatExt, FuturesAsyncWriteCompatExt};
 
-use super::MAX_FRAME;
+use super::MAX_FRAME_BYTES;
 use crate::http::{Socket, accept};
 use crate::prelude::*;
 use crate::telemetry::emit;
 
 /// Frames that wait for one peer at most; more are dropped, since digests repeat.
-const MAX_WAITING: usize = 16;
+const MAX_QUEUED_FRAMES: usize = 16;
 /// Time for a connection to a peer.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time after which a connection is made anew.
-const LIFETIME: Duration = Duration::from_secs(15);
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(15);
 /// Time that a write to a peer may wait, or a peer stay silent.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 /// Outgoing connections, by address.
@@ -45,7 +45,7 @@
             None => bytes,
         };
         self.senders.retain(|_, sender| !sender.is_closed());
-        let (sender, receiver) = async_channel::bounded(MAX_WAITING);
+        let (sender, receiver) = async_channel::bounded(MAX_QUEUED_FRAMES);
         sender.try_send(bytes).ok();
         executor.spawn(transmit(address, receiver)).detach();
         self.senders.insert(address, sender);
@@ -55,11 +55,11 @@
 /// Writes frames to one peer until the connection, its lifetime or the queue ends. A lifetime is
 /// set so that a connection whose other end has vanished is not written to for long.
 async fn transmit(address: SocketAddr, frames: Receiver<Bytes>) {
-    let Ok(socket) = Socket::connect(address, CONNECT, IDLE).await else {
+    let Ok(socket) = Socket::connect(address, CONNECT_TIMEOUT, IDLE_TIMEOUT).await else {
         return;
     };
     let mut writer = FramedWrite::new(socket.compat_write(), codec());
-    let end = Instant::now() + LIFETIME;
+    let end = Instant::now() + CONNECTION_LIFETIME;
     while let Ok(bytes) = frames.recv().await {
         if writer.send(bytes).await.is_err() {
             return;
@@ -70,18 +70,21 @@
     }
 }
 
-/// Takes peers' connections and hands each of their frames to `take`; a connection ends at the first
-/// frame that `take` finds not well-formed.
-pub async fn listen<F>(listener: Async<TcpListener>, executor: Arc<Executor<'static>>, take: F)
-where
+/// Takes peers' connections and hands each of their frames to `handle_frame`; a connection ends at the first
+/// frame that `handle_frame` finds not well-formed.
+pub async fn listen<F>(
+    listener: Async<TcpListener>,
+    executor: Arc<Executor<'static>>,
+    handle_frame: F,
+) where
     F: Fn(&[u8]) -> Result<(), String> + Clone + Send + 'static,
 {
     loop {
-        let socket = Socket::new(accept(&listener).await, IDLE);
-        let take = take.clone();
+        let socket = Socket::new(accept(&listener).await, IDLE_TIMEOUT);
+        let handle_frame = handle_frame.clone();
         let receiving = async move {
             emit(Event::PeerUp, Detail::none());
-            let reason = receive(socket, take).await.err().unwrap_or_default();
+            let reason = receive(socket, handle_frame).await.err().unwrap_or_default();
             emit(Event::PeerDown, Detail::of("reason", reason));
         };
         executor.spawn(receiving).detach();
@@ -89,10 +92,13 @@
 }
 
 /// Reads frames from one peer's connection until it ends or a frame is not well-formed.
-async fn receive(socket: Socket, take: impl Fn(&[u8]) -> Result<(), String>) -> Result<(), String> {
+async fn receive(
+    socket: Socket,
+    handle_frame: impl Fn(&[u8]) -> Result<(), String>,
+) -> Result<(), String> {
     let mut reader = FramedRead::new(socket.compat(), codec());
     while let Some(bytes) = reader.next().await {
-        take(&bytes.map_err(|error| error.to_string())?)?;
+        handle_frame(&bytes.map_err(|error| error.to_string())?)?;
     }
     Ok(())
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -5,5 +5,5 @@
 #[cfg(test)]
 mod tests;
 
-pub use frame::{Busy, Copy, Digest, Frame, MAX_FRAME, Malformed, Snapshot};
+pub use frame::{Copy, Digest, Frame, Load, MAX_FRAME_BYTES, Malformed, Snapshot};
 pub use link::{Links, listen};
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -12,10 +12,10 @@
         daemon: "router-0".into(),
         incarnation: 7,
         generation: 3,
-        busy: BTreeMap::from([("engine".into(), Busy { requests: 1, pending_tokens: 2 })]),
+        loads: BTreeMap::from([("engine".into(), Load { requests: 1, pending_tokens: 2 })]),
         heat: vec![(Key(u64::MAX), 0.5)],
         copies: vec![Copy { level: Key(1), server: "engine".into(), incarnation: "one".into() }],
-        leaving: vec!["gone".into()],
+        draining_servers: vec!["gone".into()],
         draining: true,
         blocked: vec![Blocked { fingerprint: Fingerprint(5), age: Duration::from_millis(70) }],
         ledger_next: 8,
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn decode_what_was_encoded() {
+fn decode_round_trip() {
     let blocked = vec![Blocked { fingerprint: Fingerprint(9), age: Duration::from_secs(86_399) }];
     let manifest = "{}".into();
     let snapshot = Snapshot { generation: 4, manifest, blocked, ..Snapshot::default() };
     let served = poison::Message::Served(Fingerprint(6));
     for frame in [
         Frame::Digest(digest()),
-        Frame::Ask("r".into()),
+        Frame::SnapshotRequest("r".into()),
         Frame::Snapshot(snapshot),
         Frame::Poison(served),
     ] {
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn decode_refuses_nonsense() {
-    let nameless = Frame::Digest(Digest { daemon: String::new(), ..digest() });
-    let endless = Frame::Digest(Digest { heat: vec![(Key(1), f64::INFINITY)], ..digest() });
-    for frame in [nameless, endless] {
+fn decode_refuses_invalid_frames() {
+    let unnamed = Frame::Digest(Digest { daemon: String::new(), ..digest() });
+    let infinite_rate = Frame::Digest(Digest { heat: vec![(Key(1), f64::INFINITY)], ..digest() });
+    for frame in [unnamed, infinite_rate] {
         assert!(Frame::decode(&frame.encode()).is_err());
     }
     assert!(Frame::decode(&[]).is_err());
