--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,7 +1,7 @@
-//! What daemons tell each other, and its form on the wire.
+//! Frames between daemons and their wire format.
 //!
-//! The wire types are derived with `prost`; the types that the rest of the program uses are made
-//! from them with `TryFrom`, so that a frame that is not well-formed goes no further.
+//! The wire types are derived with `prost`. The types that the rest of the program uses are
+//! converted from them with `TryFrom`, which rejects malformed frames.
 
 use prost::Message as _;
 
@@ -9,72 +9,72 @@
 use crate::prefix;
 use crate::prelude::*;
 
-/// Largest frame that is read, in bytes.
+/// Maximum size of a received frame.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Work that one daemon has at one server.
+/// Load from one daemon on one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests in flight.
     pub requests: u32,
-    /// Prompt tokens still to be computed for them.
+    /// Prompt tokens of these requests that the server has not computed yet.
     pub pending_tokens: u32,
 }
 
-/// A first level that a server holds, or soon will.
+/// First level of a prefix that a server has cached or is about to compute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Copy {
     /// The level.
     pub level: prefix::Key,
     /// The server's id.
     pub server: String,
-    /// The server's incarnation; another one does not hold it.
+    /// The server's incarnation. Other incarnations don't have the copy.
     pub incarnation: String,
 }
 
-/// What a daemon tells its peers a few times a second.
+/// State that a daemon sends to its peers a few times a second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Digest {
     /// The daemon's id.
     pub daemon: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The generation of the manifest in force there.
+    /// Generation of its manifest in force.
     pub generation: u64,
-    /// Its work by server id.
+    /// Its load by server id.
     pub loads: BTreeMap<String, Load>,
     /// Its hottest first levels, with their rates.
     pub heat: Vec<(prefix::Key, f64)>,
-    /// First levels that it has lately sent somewhere to be computed.
+    /// First levels that it recently sent to a server to compute.
     pub copies: Vec<Copy>,
-    /// Servers that it knows to be leaving.
+    /// Ids of servers that it knows to be draining.
     pub draining_servers: Vec<String>,
-    /// Whether the daemon itself is stopping.
+    /// Whether the daemon itself is draining.
     pub draining: bool,
-    /// Requests that are blocked and that the log is not known to keep yet.
+    /// Blocked requests that are not known to be on the log yet.
     pub blocked: Vec<Blocked>,
-    /// The offset up to which it knows the ledger stream.
+    /// The ledger stream's next offset.
     pub ledger_next: u64,
 }
 
-/// Folded state, for a daemon that starts or is behind.
+/// State applied from the log, for a daemon that starts or is behind.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// The manifest stream's next offset.
     pub manifest_next: u64,
-    /// The generation in force; 0 for none.
+    /// The generation in force. 0 if there is none.
     pub generation: u64,
-    /// The id of the record that brought it into force.
+    /// Id of the record that put it in force.
     pub published: String,
-    /// The manifest as JSON text; empty for none.
+    /// The manifest as JSON text. Empty if there is none.
     pub manifest: String,
     /// The ledger stream's next offset.
     pub ledger_next: u64,
     /// Log time of the newest ledger record.
     pub ledger_time_ms: u64,
-    /// Every key with what is known of it, as JSON text of (key, slot) pairs.
+    /// Every idempotency key and its state, as JSON text of (key, slot) pairs.
     pub ledger: String,
-    /// Requests that are blocked.
+    /// Blocked requests.
     pub blocked: Vec<Blocked>,
 }
 
@@ -83,16 +83,16 @@
 pub enum Frame {
     /// A daemon's digest.
     Digest(Digest),
-    /// Asks for a snapshot, to be sent to the asking daemon.
+    /// Requests a snapshot for the daemon with this id.
     SnapshotRequest(String),
     /// A snapshot.
     Snapshot(Snapshot),
-    /// On requests that end servers.
+    /// A message about requests that may crash servers.
     Poison(poison::Message),
 }
 
 mod wire {
-    //! The prost types.
+    //! Wire types.
 
     #[derive(Clone, PartialEq, prost::Message)]
     pub struct Load {
@@ -189,7 +189,7 @@
     }
 }
 
-/// A frame that can't be read.
+/// Error for a malformed frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -199,7 +199,7 @@
         wire::Frame::from(self).encode_to_vec()
     }
 
-    /// Reads a frame.
+    /// Decodes a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let frame = wire::Frame::decode(bytes).map_err(|error| Malformed(error.to_string()))?;
         Self::try_from(frame)
@@ -268,7 +268,7 @@
         }
         let valid = |heat: &wire::Heat| heat.rate.is_finite() && heat.rate >= 0.0;
         if !digest.heat.iter().all(valid) {
-            return Err(Malformed("a rate is no finite number from 0".into()));
+            return Err(Malformed("a rate is negative or not finite".into()));
         }
         let loads = digest.loads.into_iter().map(|load| {
             (load.server, Load { requests: load.requests, pending_tokens: load.pending_tokens })
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! Connections to and from other daemons: length-delimited frames over TCP, one way each.
+//! Connections between daemons. Each carries length-delimited frames over TCP in one direction.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Instant;
@@ -16,13 +16,13 @@
 use crate::prelude::*;
 use crate::telemetry::emit;
 
-/// Frames that wait for one peer at most; more are dropped, since digests repeat.
+/// Maximum number of frames queued for one peer. More are dropped, since digests repeat.
 const MAX_QUEUED_FRAMES: usize = 16;
-/// Time for a connection to a peer.
+/// Maximum time to connect to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which a connection is made anew.
+/// Time after which a connection is replaced.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(15);
-/// Time that a write to a peer may wait, or a peer stay silent.
+/// Maximum time for a write to a peer to wait or for a peer to send nothing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn codec() -> LengthDelimitedCodec {
@@ -36,8 +36,8 @@
 }
 
 impl Links {
-    /// Sends an encoded frame to the peer at `address`, connecting first where needed. A frame that
-    /// finds no room is dropped.
+    /// Queues an encoded frame for the peer at `address` and connects if needed. Drops the frame if
+    /// the queue is full.
     pub fn send(&mut self, executor: &Executor<'static>, address: SocketAddr, bytes: Bytes) {
         let bytes = match self.senders.get(&address).map(|sender| sender.try_send(bytes.clone())) {
             Some(Ok(()) | Err(TrySendError::Full(_))) => return,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Writes frames to one peer until the connection, its lifetime or the queue ends. A lifetime is
-/// set so that a connection whose other end has vanished is not written to for long.
+/// Writes frames to one peer until the connection, its lifetime or the queue ends. The lifetime
+/// limits how long frames are written to a connection whose other end is gone.
 async fn transmit(address: SocketAddr, frames: Receiver<Bytes>) {
     let Ok(socket) = Socket::connect(address, CONNECT_TIMEOUT, IDLE_TIMEOUT).await else {
         return;
@@ -70,8 +70,8 @@
     }
 }
 
-/// Takes peers' connections and hands each of their frames to `handle_frame`; a connection ends at the first
-/// frame that `handle_frame` finds not well-formed.
+/// Accepts connections of peers and passes each frame to `handle_frame`. Closes a connection at the
+/// first frame that `handle_frame` rejects as malformed.
 pub async fn listen<F>(
     listener: Async<TcpListener>,
     executor: Arc<Executor<'static>>,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads frames from one peer's connection until it ends or a frame is not well-formed.
+/// Reads frames from one peer's connection until it ends or a frame is malformed.
 async fn receive(
     socket: Socket,
     handle_frame: impl Fn(&[u8]) -> Result<(), String>,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol between daemons: what they tell each other, and the connections for it.
+//! Protocol between daemons: frames and the connections that carry them.
 
 mod frame;
 mod link;
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons, from any bytes.
+//! Tests of encoding and decoding frames.
 
 use quickcheck::quickcheck;
 
