--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,9 +1,9 @@
-//! The protocol between daemons: what they tell each other, and the connections for it.
+//! Protocol between daemons: frames and the connections that carry them.
 
 mod frame;
 mod link;
 #[cfg(test)]
 mod tests;
 
-pub use frame::{Busy, Copy, Digest, Frame, MAX_FRAME, Malformed, Snapshot};
+pub use frame::{Copy, Digest, Frame, Load, MAX_FRAME_BYTES, Malformed, Snapshot};
 pub use link::{Links, listen};
