--- a/src/relay/tests/delivery.rs
+++ b/src/relay/tests/delivery.rs
@@ -197,7 +197,7 @@
 #[test]
 fn run_command_during_answer_write_does_not_interrupt_it() {
     for streams in [true, false] {
-        for late in [false, true] {
+        for give_up in [false, true] {
             let mut fixture = Fixture::start(streams);
             let first = serve_once(large_answer(streams, 'a'));
             let second = serve_once(large_answer(streams, 'b'));
@@ -205,11 +205,11 @@
             commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
             assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
             fixture.wait_for_answer();
-            let command = if late { Command::GiveUp } else { dispatch(2, second) };
+            let command = if give_up { Command::GiveUp } else { dispatch(2, second) };
             commands.try_send(command).expect("the command channel is open");
             thread::sleep(Duration::from_millis(50));
             let body = fixture.body();
-            assert!(body.len() >= LARGE_BYTES && !body.contains(&b'b'), "{streams} {late}");
+            assert!(body.len() >= LARGE_BYTES && !body.contains(&b'b'), "{streams} {give_up}");
             assert_eq!(fixture.receive_report(), (1, Report::Ended));
         }
     }
