--- a/src/fleet/tests/beliefs/carriage.rs
+++ b/src/fleet/tests/beliefs/carriage.rs
@@ -1,4 +1,4 @@
-//! What carries it: the store, frames, orders and requests.
+//! Transport in the model: the store, frames, orders and requests.
 
 use super::*;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Appends reach the store.
+    /// Applies the appends that have reached the store.
     pub(super) fn apply_appends(&mut self) {
         let is_store_reachable = self.is_store_reachable();
         while let Some(first) = self.appends.first_entry().filter(|first| first.key().0 <= self.now)
@@ -52,15 +52,14 @@
         }
     }
 
-    /// A daemon's write of a block counts like anybody's.
+    /// Records that a daemon's write stored or removed a block.
     pub(super) fn note_block_write(&mut self, text: &str, stored: bool) {
-        let fingerprint: u64 = text.parse().expect("daemons write numbers");
+        let fingerprint: u64 = text.parse().expect("the key of a block ends with its fingerprint");
         let Some(block) = self.blocks.get_mut(&fingerprint) else { return };
         match stored {
             true if block.removed_at.is_some() => {
-                // It was under way when the block was taken away, or comes from who had not heard of that.
-                let violation =
-                    format!("block {fingerprint} was written again after it was taken away");
+                // Allowed for a write in transit at the removal, or by a daemon that has not learnt of it.
+                let violation = format!("block {fingerprint} was written again after its removal");
                 if block.removed_at.is_some_and(|at| self.now > at + MAX_OWN_TOPIC_PROPAGATION) {
                     self.violations.entry(Invariant::Block).or_insert(violation);
                 }
@@ -86,7 +85,7 @@
             }
             let message = match payload {
                 Payload::Frame(bytes) => {
-                    Message::Frame(Frame::decode(&bytes).expect("it was encoded"))
+                    Message::Frame(Frame::decode(&bytes).expect("an encoded frame can be decoded"))
                 }
                 Payload::Message(message) => *message,
             };
@@ -105,7 +104,7 @@
         self.in_transit.insert((self.now + delay, self.sequence), (vm, incarnation, payload));
     }
 
-    /// A process starts, ticks, reads, and registers.
+    /// Starts a VM's daemon, runs its ticks and reads, and registers it.
     pub(super) fn run_vm(&mut self, vm: usize) {
         let now = self.now;
         if now < self.vms[vm].frozen_until {
@@ -234,7 +233,7 @@
         let max_delay_ms = match self.access(vm) {
             Access::Open => 20,
             Access::Slow(_) => 1_400,
-            // It may land all the same, late.
+            // Some appends still reach the store, late.
             Access::Silent if self.rng.u32(0..10) == 0 => 6_000,
             Access::Refused | Access::Silent => return,
         };
@@ -288,7 +287,7 @@
         OrderEnd::Accepted
     }
 
-    /// Callers ask, at any daemon that says that it is ready.
+    /// Sends a request to a random daemon if it is ready.
     pub(super) fn send_request(&mut self) {
         let vm = self.rng.usize(0..self.vms.len());
         let is_awake = self.now >= self.vms[vm].frozen_until;
@@ -304,12 +303,12 @@
         self.execute_effects(vm, effects);
     }
 
-    /// A daemon sends a request to a server: one that it may still go to, as far as that could be known.
+    /// Checks that the server of a dispatch was allowed as far as known, and schedules its reports.
     pub(super) fn handle_dispatch(&mut self, vm: usize, request: Key, dispatch: &Dispatch) {
         self.dispatch_count += 1;
         if self.is_up_to_date(vm) {
             if let Some(version) = dispatch.weights_version {
-                self.check_weights_age(vm, version, "is sent to");
+                self.check_weights_age(vm, version, "sends a request to weights");
             }
             let known = self.store.newest(Topic::Servers);
             let known_drain = known.get(dispatch.server.as_str()).filter(|(at, record)| {
@@ -321,7 +320,7 @@
                 self.report_violation(
                     vm,
                     Invariant::Server,
-                    format!("a request is sent to {}, which leaves", dispatch.server),
+                    format!("a request is sent to {}, which is draining", dispatch.server),
                 );
             }
         }
--- a/src/fleet/tests/beliefs/checks.rs
+++ b/src/fleet/tests/beliefs/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold of each daemon that has no excuse.
+//! Invariants that must hold for each daemon without recent faults.
 
 use super::*;
 
@@ -7,15 +7,15 @@
         self.now < self.vms[vm].slowed_at + RECOVERY_TIME
     }
 
-    /// Whether a daemon says that it is ready, and nothing kept it from knowing what is true since it has
-    /// been calm, or since its start.
+    /// Returns whether a daemon is ready and was last cut off at least [`RECOVERY_TIME`] ago, or never since its
+    /// start.
     pub(super) fn is_up_to_date(&self, vm: usize) -> bool {
         let ready = self.node(vm).is_some_and(Node::is_ready);
         let this = &self.vms[vm];
         ready && (this.cut_at == Time::ZERO || self.now >= this.cut_at + RECOVERY_TIME)
     }
 
-    /// Whether a daemon has run for some time without trouble.
+    /// Returns whether a daemon has run for [`RECOVERY_TIME`] without faults.
     pub(super) fn is_recovered(&self, vm: usize) -> bool {
         let this = &self.vms[vm];
         this.daemon.is_some()
@@ -37,7 +37,7 @@
         self.violations.entry(invariant).or_insert(text);
     }
 
-    /// Notes where work may begin, or is sent, on weights that are past the limit.
+    /// Reports a violation if weights that requests may use are past the limit.
     pub(super) fn check_weights_age(&mut self, vm: usize, version: u64, what: &str) {
         let newer = self.weights_versions.iter().find(|(named, _)| *named > version);
         let Some((newer, at)) = newer.copied() else { return };
@@ -68,7 +68,7 @@
             if self.is_recovered(vm) {
                 self.check_blocks(vm);
                 if !self.node(vm).is_some_and(Node::is_ready) {
-                    self.report_violation(vm, Invariant::Ready, "it is not ready".into());
+                    self.report_violation(vm, Invariant::Ready, "the daemon is not ready".into());
                 }
             }
         }
@@ -81,7 +81,7 @@
         for version in versions {
             let is_allowed = |node: &Node| node.is_version_allowed(self.now, "m", version);
             if self.node(vm).is_some_and(is_allowed) {
-                self.check_weights_age(vm, version, "may begin on");
+                self.check_weights_age(vm, version, "may start requests on weights");
             }
         }
     }
@@ -106,15 +106,15 @@
             let value = record.value.as_deref().map(String::from_utf8_lossy);
             match (value, known) {
                 (None, Some(_)) if self.now > at + REREGISTRATION_GRACE + MAX_PROPAGATION => {
-                    violations.push(format!("{id} is gone, and is known"));
+                    violations.push(format!("{id} is gone but still known"));
                 }
                 (Some(_), None) if self.now > at + MAX_PROPAGATION => {
-                    violations.push(format!("{id} is registered, and is not known"));
+                    violations.push(format!("{id} is registered but not known"));
                 }
                 (Some(value), Some(known)) if self.now > at + MAX_PROPAGATION => {
                     let draining = value.contains("draining");
                     if draining != known.entry.draining {
-                        violations.push(format!("{id}: leaving {}", known.entry.draining));
+                        violations.push(format!("{id}: assumed draining {}", known.entry.draining));
                     }
                 }
                 _ => {}
@@ -133,7 +133,8 @@
             let long_ago = |at: Time| self.now > at + MAX_OWN_TOPIC_PROPAGATION;
             match (block.stored_at, block.removed_at) {
                 (_, Some(at)) if long_ago(at) && is_blocked => {
-                    violations.push(format!("{fingerprint} is blocked, which was taken away"));
+                    violations
+                        .push(format!("{fingerprint} is blocked after the removal of its block"));
                 }
                 (Some(at), None) if long_ago(at) && !is_blocked => {
                     violations.push(format!("{fingerprint} is not blocked"));
@@ -142,7 +143,7 @@
                     let (detector, incarnation) = block.detected_by;
                     if self.vms[detector].incarnation == incarnation && self.is_recovered(detector)
                     {
-                        violations.push(format!("{fingerprint} is not blocked, but at a peer"));
+                        violations.push(format!("{fingerprint} is not blocked here but at a peer"));
                     }
                 }
                 _ => {}
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Daemons that say that they are ready take no more than the whole of the retry budget together.
+    /// Checks that the ready daemons together take no more than the whole retry budget.
     pub(super) fn check_budget(&mut self) {
         let ready_vms: Vec<usize> =
             (0..self.vms.len()).filter(|vm| self.is_up_to_date(*vm)).collect();
@@ -165,7 +166,7 @@
             self.report_violation(
                 *first,
                 Invariant::Budget,
-                format!("{taken} of {} repeats are taken", POLICY.retry_slack),
+                format!("{taken} of {} retries are taken", POLICY.retry_slack),
             );
         }
         for vm in ready_vms {
@@ -175,7 +176,7 @@
                 self.report_violation(
                     vm,
                     Invariant::Budget,
-                    format!("{known} daemons are known to share the budget"),
+                    format!("only {known} daemons are known to share the budget"),
                 );
             }
         }
@@ -189,7 +190,7 @@
             self.report_violation(
                 vm,
                 Invariant::Lease,
-                format!("{holders:?} hold the lease, after {}", self.highest_fence),
+                format!("{holders:?} hold the lease after fence {}", self.highest_fence),
             );
         }
         self.highest_fence = self.highest_fence.max(fence);
--- a/src/fleet/tests/beliefs/faults.rs
+++ b/src/fleet/tests/beliefs/faults.rs
@@ -1,4 +1,4 @@
-//! What happens: faults, and what operators and servers change.
+//! Faults, and changes by operators and servers.
 
 use super::*;
 
@@ -16,7 +16,7 @@
         vms
     }
 
-    /// Faults begin, several at a time.
+    /// Starts a random fault; several can last at a time.
     pub(super) fn inject_faults(&mut self) {
         if self.now < self.next_change_at[0] {
             return;
@@ -44,7 +44,7 @@
                 return;
             }
         };
-        // The store is down for all as often as for some.
+        // Half of the store faults affect all VMs.
         let all = matches!(fault, Fault::Store(_)) && self.rng.bool();
         let vms = if all { (0..self.vms.len()).collect() } else { vms };
         self.faults.extend(vms.into_iter().map(|vm| (until, vm, fault)));
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether the store serves anybody: only then do operators and servers write.
+    /// Returns whether the store serves any VM; operators and servers write only then.
     pub(super) fn is_store_reachable(&self) -> bool {
         (0..self.vms.len()).any(|vm| !matches!(self.access(vm), Access::Silent | Access::Refused))
     }
@@ -81,7 +81,7 @@
         self.faults.iter().any(|(_, faulty, active)| *faulty == vm && *active == fault)
     }
 
-    /// Operators and servers change something, and often daemons end at that very moment.
+    /// Makes the due changes by operators and servers; some kill daemons at the same moment.
     pub(super) fn change_state(&mut self) {
         if !self.is_store_reachable() {
             return;
@@ -141,7 +141,7 @@
             return;
         };
         match kind {
-            // It leaves, and another comes in its place.
+            // The server drains and another one replaces it.
             0 => {
                 server.draining = true;
                 self.store.append(now, Topic::Servers, &server.id, &server.value());
--- a/src/fleet/tests/beliefs/mod.rs
+++ b/src/fleet/tests/beliefs/mod.rs
@@ -1,5 +1,5 @@
-//! What daemons believe, against what is true: seeded histories in which daemons are killed, frozen and cut
-//! off at the very moment at which something changes, and their frames and reads come late, twice or never.
+//! Checks of the state that daemons assume against the true state, in seeded histories: daemons are killed, frozen
+//! and cut off at the moment of a change, and their frames and reads arrive late, twice or never.
 
 mod carriage;
 mod checks;
@@ -16,22 +16,22 @@
 
 const STEP: Duration = Duration::from_millis(20);
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// A play: the last part is without new faults.
+/// Length of a run, whose last part has no new faults.
 const RUN_TIME: Duration = Duration::from_secs(36);
 const FAULT_PERIOD: Duration = Duration::from_secs(28);
-/// Time without trouble after which a daemon has no excuse.
+/// Time without faults after which all invariants must hold for a daemon.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
-/// Time from a record's append until all who are calm go by it.
+/// Time from a record's append until all recovered daemons must apply it.
 const MAX_PROPAGATION: Duration = Duration::from_secs(2);
-/// The same for what comes by the daemons' own topic, which is read every two seconds.
+/// The same for the daemons' own topic, which is read every two seconds.
 const MAX_OWN_TOPIC_PROPAGATION: Duration = Duration::from_secs(5);
-/// Time for which a server may be kept whose registration is gone.
+/// Time for which a daemon may keep a server whose registration is gone.
 const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_200);
-/// Time without registrations after which the store takes one for gone.
+/// Time without renewal after which the store removes a registration.
 const REGISTRATION_TTL: Duration = Duration::from_millis(1_500);
 const ENGINE_COUNT: u8 = 6;
 const PLAIN_SERVER_COUNT: u8 = 3;
-/// Where the servers' addresses begin, after those of the daemons.
+/// Last octet of the first server's address, after those of the daemons.
 const FIRST_SERVER_ADDRESS: u8 = 201;
 
 /// A daemon's VM.
@@ -45,25 +45,25 @@
     register_at: Option<Time>,
     starts_at: Time,
     frozen_until: Time,
-    /// When the store, or peers, last did not reach it as they should.
+    /// When the store or peers last failed to reach it.
     cut_at: Time,
     slowed_at: Time,
-    /// The version of the table in force.
+    /// Version of the table in force.
     table: u64,
 }
 
-/// What a fault does to one VM, until when.
+/// A fault of one VM.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     /// The store does not serve it.
     Store(Access),
-    /// A part of the frames from and to it are lost.
+    /// Four in ten frames from and to it are lost.
     Lossy,
-    /// Frames to it come late, some twice.
+    /// Frames to it arrive late, some twice.
     Late,
 }
 
-/// A server as it is.
+/// The true state of a backend server.
 struct Backend {
     id: String,
     is_engine: bool,
@@ -93,16 +93,16 @@
     }
 }
 
-/// What operators did to a request that ends servers.
+/// The true state of the block of a request that crashes servers.
 struct Block {
     created_at: Time,
-    /// Who counted its strikes, in which incarnation.
+    /// The VM whose daemon received its interruptions, and the incarnation.
     detected_by: (usize, u64),
     stored_at: Option<Time>,
     removed_at: Option<Time>,
 }
 
-/// What a daemon goes by.
+/// A kind of daemon state that the checks compare with the true state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Invariant {
     Weights,
@@ -114,7 +114,7 @@
     Ready,
 }
 
-/// What is under way to a daemon.
+/// A frame or message in transit to a daemon.
 enum Payload {
     Frame(Vec<u8>),
     Message(Box<Message>),
@@ -133,9 +133,9 @@
     store: Store,
     vms: Vec<Vm>,
     servers: Vec<Backend>,
-    /// By the time at which it comes: the VM, the incarnation that it is for, and what.
+    /// Payloads by arrival time, with the VM and the incarnation that they are for.
     in_transit: BTreeMap<(Time, u64), (usize, u64, Payload)>,
-    /// Appends under way.
+    /// Appends in transit to the store.
     appends: BTreeMap<(Time, u64), Append>,
     faults: Vec<(Time, usize, Fault)>,
     sequence: u64,
@@ -148,7 +148,7 @@
     highest_fence: u64,
     check_count: u64,
     dispatch_count: u64,
-    /// The first of each kind.
+    /// The first violation of each kind.
     violations: BTreeMap<Invariant, String>,
 }
 
@@ -247,7 +247,7 @@
     }
 }
 
-/// Seeds that are played here; more by hand with `BELIEFS_SEEDS`, and one alone with `BELIEFS_SEED`.
+/// Returns the seeds to run: `BELIEFS_SEEDS` sets their number, `BELIEFS_SEED` selects a single one.
 fn seeds(few: u64) -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|seeds| seeds.parse().ok());
     match number("BELIEFS_SEED") {
@@ -287,7 +287,7 @@
     run(71, 1);
 }
 
-// Half a minute a seed: by hand only.
+// A seed takes half a minute, so none runs by default.
 #[test]
 fn invariants_of_195_daemons_hold() {
     run(195, 0);
