--- a/src/fleet/scheduling/submitting.rs
+++ b/src/fleet/scheduling/submitting.rs
@@ -184,7 +184,7 @@
                 self.handle_not_run(now, key, refused != Refusal::Replaced);
             }
             Report::Unsent => {
-                self.log_failed(key, server, "it could not be connected to");
+                self.log_failed(key, server, "could not connect to the server");
                 self.counts.unsent += 1;
                 self.handle_not_run(now, key, false);
             }
@@ -194,7 +194,7 @@
                 self.handle_possible_run(now, key);
             }
             Report::Failed => {
-                self.log_failed(key, server, "it answered with a failure of its own");
+                self.log_failed(key, server, "the server answered with an error");
                 self.counts.failed += 1;
                 self.handle_possible_run(now, key);
             }
