--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -140,19 +140,19 @@
 
     /// Builds the arrival of a call to service `name`; `path` is relative to the service.
     pub(super) fn service_arrival(&self, call: &Call, name: &str, path: &str) -> Result<Arrival> {
-        let headers: &Headers = call.whole.request.as_ref();
+        let headers: &Headers = call.received.request.as_ref();
         let options = Options::read(headers)?;
-        let named = || format!("service {name:?}");
+        let detail = || format!("service {name:?}");
         let service = call.force.manifest.services.get(name);
-        let service = service.ok_or_else(|| Error::new(Code::UnknownService, named()))?;
+        let service = service.ok_or_else(|| Error::new(Code::UnknownService, detail()))?;
         let workspace = workspace(&call.force, &call.workspace)?;
         if !workspace.services.iter().any(|granted| granted == name) {
-            return Err(Error::new(Code::ForeignService, named()));
+            return Err(Error::new(Code::ForeignService, detail()));
         }
-        let method = call.whole.request.method().to_string();
+        let method = call.received.request.method().to_string();
         let idempotent = service.idempotent_methods.contains(&method);
         let key = idempotency_key(headers)?;
-        let keyed = key.is_some();
+        let has_key = key.is_some();
         let claim =
             key.filter(|_| !idempotent && !service.deduplicates).map(|key| ledger::Proposal {
                 key: ledger::Key {
@@ -160,7 +160,7 @@
                     service: name.to_owned(),
                     key,
                 },
-                digest: request_digest(&method, path, &call.whole.body),
+                digest: request_digest(&method, path, &call.received.body),
                 window_s: call.force.manifest.idempotency_window_s,
             });
         let deadline =
@@ -179,10 +179,10 @@
             fingerprint: Fingerprint::of(
                 &call.workspace,
                 &method,
-                call.whole.request.url().path(),
-                &call.whole.body,
+                call.received.request.url().path(),
+                &call.received.body,
             ),
-            idempotent: idempotent || (keyed && service.deduplicates),
+            idempotent: idempotent || (has_key && service.deduplicates),
             claim,
         })
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -46,7 +46,7 @@
 
 /// One caller's request, with the context that all routes need.
 struct Call {
-    whole: Whole,
+    received: Whole,
     force: Arc<Force>,
     workspace: String,
     hop: Hop,
@@ -112,9 +112,9 @@
     ) -> http_types::Result<Response> {
         let mut close = true;
         let mut answer = match server::read(request, &socket, self.limits.body_bytes).await {
-            Ok(whole) => {
-                close = whole.close;
-                self.route(whole).await
+            Ok(received) => {
+                close = received.close;
+                self.route(received).await
             }
             Err(error) => self.refusal_answer(&error.into()),
         };
@@ -125,24 +125,24 @@
         Ok(answer)
     }
 
-    async fn route(self: &Arc<Self>, whole: Whole) -> Response {
+    async fn route(self: &Arc<Self>, received: Whole) -> Response {
         let arrived_at = self.control.clock.now();
-        let head = &whole.request;
-        let traceparent = header::single(head.as_ref(), header::TRACEPARENT).ok().flatten();
+        let request = &received.request;
+        let traceparent = header::single(request.as_ref(), header::TRACEPARENT).ok().flatten();
         let hop = Hop::first("entry", traceparent);
-        let path = head.url().path().to_owned();
-        let (workspace, force) = match self.authenticate(head) {
+        let path = request.url().path().to_owned();
+        let (workspace, force) = match self.authenticate(request) {
             Ok(found) => found,
             Err(error) => return self.refusal_answer(&error.into()),
         };
         hop.note("workspace", workspace.clone());
-        let call = Call { whole, force, workspace, hop, arrived_at };
-        match (call.whole.request.method(), path.as_str()) {
+        let call = Call { received, force, workspace, hop, arrived_at };
+        match (call.received.request.method(), path.as_str()) {
             (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
                 self.serve_completion(call).await
             }
             (Method::Get, "/v1/models") => list_models(&call),
-            (_, path) if path.starts_with("/services/") => self.serve_service(call).await,
+            (_, path) if path.starts_with("/services/") => self.forward_call(call).await,
             (_, "/v1/chat/completions" | "/v1/completions") => {
                 self.refusal_answer(&Error::new(Code::MethodNotAllowed, "POST").into())
             }
@@ -183,17 +183,17 @@
         row.number,
         body.len(),
     );
-    let linger = async {
+    let send_and_drain = async {
         socket.write_all(text.as_bytes()).await?;
         socket.close().await?;
         // Drains what the caller still sends; otherwise a TCP reset could discard the answer.
         futures_lite::io::copy(&mut socket, &mut futures_lite::io::sink()).await
     };
-    let end = async {
+    let timeout = async {
         async_io::Timer::after(REFUSAL_LINGER).await;
         Ok(0)
     };
-    linger.or(end).await.ok();
+    send_and_drain.or(timeout).await.ok();
 }
 
 fn list_models(call: &Call) -> Response {
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -43,9 +43,9 @@
     }
 
     fn read_completion(&self, call: &Call) -> Result<(Completion, Arrival)> {
-        let request = &call.whole.request;
+        let request = &call.received.request;
         let kind = Kind::from_path(request.url().path()).unwrap_or(Kind::Text);
-        let completion = Completion::parse(kind, &call.whole.body)?;
+        let completion = Completion::parse(kind, &call.received.body)?;
         let headers = request.as_ref();
         let arrival = self.completion_arrival(
             &call.force,
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -67,9 +67,9 @@
 impl Pump {
     /// Executes control's commands until the request ends.
     pub(super) async fn run(mut self, commands: Receiver<Command>) {
-        let mut waiting = self.hop.child("admission");
+        let mut wait_hop = self.hop.child("admission");
         while let Ok(command) = commands.recv().await {
-            drop(waiting);
+            drop(wait_hop);
             match command {
                 Command::Dispatch(dispatch) => {
                     self.hop.placed(&dispatch);
@@ -77,12 +77,12 @@
                     let outcome =
                         self.run_attempt(&dispatch).or(wait_for_abort(&commands, number)).await;
                     let complete = matches!(outcome, Outcome::Complete(_));
-                    let gone = outcome == Outcome::CallerGone;
+                    let caller_gone = outcome == Outcome::CallerGone;
                     self.report(&dispatch, Report::Ended(outcome));
                     if complete {
                         self.pieces.send(Piece::End).await.ok();
                     }
-                    if complete || gone {
+                    if complete || caller_gone {
                         return;
                     }
                 }
@@ -94,7 +94,7 @@
                 Command::Abort(_) => {}
                 Command::Replay(_) => return,
             }
-            waiting = self.hop.child("admission");
+            wait_hop = self.hop.child("admission");
         }
     }
 
@@ -188,9 +188,9 @@
             .ok()
             .flatten()
             .and_then(|value| value.parse().ok());
-        let stream = hop.child("stream");
+        let stream_hop = hop.child("stream");
         let outcome = self.relay_stream(dispatch, answer, cached).await;
-        stream.note("position", self.position as i64);
+        stream_hop.note("position", self.position as i64);
         outcome
     }
 
@@ -212,9 +212,9 @@
         match answer.whole().await {
             Ok((head, body)) => {
                 let status = u16::from(head.status());
-                let passed = self.pieces.send(Piece::Begin(dispatch.id.clone())).await.is_ok()
+                let forwarded = self.pieces.send(Piece::Begin(dispatch.id.clone())).await.is_ok()
                     && self.pieces.send(Piece::Rejection(status, body)).await.is_ok();
-                if passed { Outcome::Complete(None) } else { Outcome::CallerGone }
+                if forwarded { Outcome::Complete(None) } else { Outcome::CallerGone }
             }
             Err(failure) => Outcome::Declined(failure.reason),
         }
@@ -267,8 +267,8 @@
             Some(position) if position < self.position => return Ok(Chunk::Duplicate),
             Some(position) if position == self.position => {}
             _ => {
-                let seen = message.id();
-                return Err(format!("the engine sent chunk {seen:?}, expected {}", self.position));
+                let id = message.id();
+                return Err(format!("the engine sent chunk {id:?}, expected {}", self.position));
             }
         }
         if data == END_OF_STREAM {
--- a/src/entry/service.rs
+++ b/src/entry/service.rs
@@ -36,8 +36,8 @@
 ];
 
 impl Entry {
-    pub(super) async fn serve_service(self: &Arc<Self>, call: Call) -> Response {
-        let url = call.whole.request.url();
+    pub(super) async fn forward_call(self: &Arc<Self>, call: Call) -> Response {
+        let url = call.received.request.url();
         let rest = url.path().strip_prefix("/services/").unwrap_or_default();
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
         let query = url.query().map(|query| format!("?{query}")).unwrap_or_default();
@@ -46,23 +46,23 @@
             Ok(arrival) => arrival,
             Err(error) => return self.refuse(&call.workspace, "", error.into()),
         };
-        let keyed = arrival.claim.is_some();
+        let has_claim = arrival.claim.is_some();
         let name = match &arrival.target {
             Target::Service { service } => service.clone(),
             Target::Model { .. } => String::new(),
         };
         let request = arrival.request;
         let commands = self.control.open(arrival);
-        let mut waiting = call.hop.child(if keyed { "ledger" } else { "admission" });
+        let mut wait_hop = call.hop.child(if has_claim { "ledger" } else { "admission" });
         while let Ok(command) = commands.recv().await {
-            drop(waiting);
+            drop(wait_hop);
             let dispatch = match command {
                 Command::Dispatch(dispatch) => dispatch,
                 Command::Refuse(refusal) => return self.refuse(&call.workspace, &name, refusal),
                 Command::Replay(receipt) => return self.replay(&receipt),
                 // The call keeps running: the server's answer tells more than an abort.
                 Command::Abort(_) => {
-                    waiting = call.hop.child("admission");
+                    wait_hop = call.hop.child("admission");
                     continue;
                 }
             };
@@ -77,7 +77,7 @@
                 self.metrics.answered(&call.workspace, &name, 0);
                 return answer;
             }
-            waiting = call.hop.child("admission");
+            wait_hop = call.hop.child("admission");
         }
         self.refuse(&call.workspace, &name, Code::OutcomeUnknown.into())
     }
@@ -95,19 +95,19 @@
         }
         let id = request_id(&self.id, self.incarnation, request);
         let attempt_id = format!("{id}.{}", dispatch.attempt);
-        let sent = match self.build_request(call, path, dispatch, &attempt_id, hop) {
-            Ok(sent) => sent,
+        let outgoing = match self.build_request(call, path, dispatch, &attempt_id, hop) {
+            Ok(outgoing) => outgoing,
             Err(error) => return (Outcome::Unsent(error.message()), None),
         };
-        let answer = match client::send(dispatch.address, sent, self.client_limits).await {
+        let answer = match client::send(dispatch.address, outgoing, self.client_limits).await {
             Ok(answer) => answer.whole().await,
             Err(failure) => Err(failure),
         };
         match answer {
             Ok((head, body)) => {
-                let kept = build_receipt(&head, &body);
+                let receipt = build_receipt(&head, &body);
                 let answer = self.returned_answer(head, body, &dispatch.id);
-                (Outcome::Complete(Some(kept)), Some(answer))
+                (Outcome::Complete(Some(receipt)), Some(answer))
             }
             Err(failure) if failure.too_large => (Outcome::TooLarge, None),
             Err(failure) => (failure.into(), None),
@@ -122,26 +122,28 @@
         attempt_id: &str,
         hop: &Hop,
     ) -> Result<http_types::Request> {
-        let head = &call.whole.request;
-        let mut sent = client::request(head.method(), dispatch.address, path)?;
+        let incoming = &call.received.request;
+        let mut outgoing = client::request(incoming.method(), dispatch.address, path)?;
         for name in FORWARDED_HEADERS {
-            if let Some(value) = header::single(head.as_ref(), name)? {
-                sent.insert_header(name, value);
+            if let Some(value) = header::single(incoming.as_ref(), name)? {
+                outgoing.insert_header(name, value);
             }
         }
-        sent.insert_header(header::ATTEMPT, attempt_id);
-        sent.insert_header("x-workspace", call.workspace.as_str());
+        outgoing.insert_header(header::ATTEMPT, attempt_id);
+        outgoing.insert_header("x-workspace", call.workspace.as_str());
         if let Some(traceparent) = hop.traceparent() {
-            sent.insert_header(header::TRACEPARENT, traceparent);
+            outgoing.insert_header(header::TRACEPARENT, traceparent);
         }
-        if !matches!(head.method(), Method::Get | Method::Head) || !call.whole.body.is_empty() {
-            let content_type = sent.header("content-type").cloned();
-            sent.set_body(call.whole.body.clone());
+        if !matches!(incoming.method(), Method::Get | Method::Head)
+            || !call.received.body.is_empty()
+        {
+            let content_type = outgoing.header("content-type").cloned();
+            outgoing.set_body(call.received.body.clone());
             if let Some(content_type) = content_type {
-                sent.insert_header("content-type", &content_type);
+                outgoing.insert_header("content-type", &content_type);
             }
         }
-        Ok(sent)
+        Ok(outgoing)
     }
 
     fn returned_answer(&self, head: Response, body: Vec<u8>, id: &str) -> Response {
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -81,7 +81,7 @@
     let manifest = json!({ "format": 1, "pools": {}, "workspaces": {} }).to_string();
     let manifest = manifest::parse(manifest.as_bytes()).expect("the manifest is valid");
     let call = Call {
-        whole: Whole {
+        received: Whole {
             request: Request::new(Method::Post, "http://localhost/services/pay/x"),
             body: b"payment".to_vec(),
             close: false,
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -13,8 +13,8 @@
 }
 
 /// Builds an entry of one of four kinds, for one of three keys and four claims.
-fn entry(kind: u8, which: u8, claim: u8) -> Entry {
-    let (id, key) = (id(claim % 4), key(which % 3));
+fn entry(kind: u8, key_index: u8, claim: u8) -> Entry {
+    let (id, key) = (id(claim % 4), key(key_index % 3));
     match kind % 4 {
         0 => Entry::Claim { id, key, digest: "d".into(), window_s: 10 },
         1 => {
@@ -57,8 +57,8 @@
     fn fold_done_stays_done(entries: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let mut done: std::collections::BTreeMap<Key, Slot> = std::collections::BTreeMap::new();
-        entries.iter().enumerate().all(|(offset, (kind, which, claim))| {
-            state.fold(offset as u64, 0, &Batch::new(vec![entry(*kind, *which, *claim)]).encode());
+        entries.iter().enumerate().all(|(offset, (kind, key_index, claim))| {
+            state.fold(offset as u64, 0, &Batch::new(vec![entry(*kind, *key_index, *claim)]).encode());
             let kept = done.iter().all(|(key, slot)| state.get(key) == Some(slot));
             for (key, slot) in state.iter().filter(|(_, s)| matches!(s.status, Status::Done(_))) {
                 done.insert(key.clone(), slot.clone());
