--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -121,7 +121,7 @@
 impl From<Error> for Refusal {
     fn from(error: Error) -> Self {
         let row = error.code.row();
-        Self { error, execution: row.execution, retry_after: row.retry_after }
+        Self { error, execution: row.execution, retry_after: row.retry_after_s }
     }
 }
 
--- a/src/bin/cardamomvalve.rs
+++ b/src/bin/cardamomvalve.rs
@@ -15,7 +15,7 @@
         }
         Err(error) => {
             eprintln!("cardamomvalve: {error}");
-            ExitCode::from(error.code.row().exit)
+            ExitCode::from(error.code.row().exit_code)
         }
     }
 }
--- a/src/bin/cardamomvalved.rs
+++ b/src/bin/cardamomvalved.rs
@@ -14,7 +14,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cardamomvalved: {error}");
-            ExitCode::from(error.code.row().exit)
+            ExitCode::from(error.code.row().exit_code)
         }
     }
 }
--- a/src/cli/tables.rs
+++ b/src/cli/tables.rs
@@ -23,8 +23,8 @@
             row.name,
             or_dash(u32::from(row.status)),
             if row.status == 0 { "-" } else { row.execution.as_str() },
-            or_dash(row.retry_after),
-            or_dash(u32::from(row.exit)),
+            or_dash(row.retry_after_s),
+            or_dash(u32::from(row.exit_code)),
             row.text
         ));
     }
@@ -38,8 +38,8 @@
         "name": row.name,
         "status": row.status,
         "execution": row.execution.as_str(),
-        "retry_after_s": row.retry_after,
-        "exit": row.exit,
+        "retry_after_s": row.retry_after_s,
+        "exit": row.exit_code,
         "text": row.text,
     })
 }
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -6,7 +6,7 @@
 use crate::attempt::{self, Arrival, Phase, Request};
 use crate::placement::Scored;
 use crate::prelude::*;
-use crate::telemetry::metrics::Figure;
+use crate::telemetry::metrics::Gauge;
 
 /// State of one server, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -99,7 +99,7 @@
 
 impl Status {
     /// The metrics of this state.
-    pub fn figures(&self) -> Vec<Figure> {
+    pub fn figures(&self) -> Vec<Gauge> {
         let usable = self.servers.iter().filter(|server| server.usable).count() as u64;
         let waiting: usize = self.waiting.values().sum();
         let values = [
@@ -123,7 +123,7 @@
             ("residency_entries", self.residency_entries as u64),
             ("unreadable_records", self.counts.unreadable_records),
         ];
-        values.map(|(name, value)| Figure::new(name, value)).into()
+        values.map(|(name, value)| Gauge::new(name, value)).into()
     }
 }
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -129,13 +129,13 @@
         let arrived_at = self.control.clock.now();
         let request = &received.request;
         let traceparent = header::single(request.as_ref(), header::TRACEPARENT).ok().flatten();
-        let hop = Hop::first("entry", traceparent);
+        let hop = Hop::root("entry", traceparent);
         let path = request.url().path().to_owned();
         let (workspace, force) = match self.authenticate(request) {
             Ok(found) => found,
             Err(error) => return self.refusal_answer(&error.into()),
         };
-        hop.note("workspace", workspace.clone());
+        hop.set_attribute("workspace", workspace.clone());
         let call = Call { received, force, workspace, hop, arrived_at };
         match (call.received.request.method(), path.as_str()) {
             (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
@@ -176,7 +176,7 @@
         "HTTP/1.1 {} Service Unavailable\r\nconnection: close\r\nretry-after: {}\r\n\
          {}: {}\r\n{}: {}\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
         row.status,
-        row.retry_after,
+        row.retry_after_s,
         header::EXECUTION,
         row.execution.as_str(),
         header::CODE,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -91,7 +91,7 @@
     }
 
     pub(super) fn refuse(&self, workspace: &str, target: &str, refusal: Refusal) -> Response {
-        self.metrics.answered(workspace, target, refusal.error.code.row().number);
+        self.metrics.count_answer(workspace, target, refusal.error.code.row().number);
         self.refusal_answer(&refusal)
     }
 
@@ -125,7 +125,7 @@
         answer.insert_header("content-type", "text/event-stream");
         answer.insert_header("cache-control", "no-cache");
         self.insert_server_headers(&mut answer, server);
-        self.metrics.answered(workspace, name, 0);
+        self.metrics.count_answer(workspace, name, 0);
         answer
     }
 
@@ -147,7 +147,7 @@
                     last = Some(chunk);
                 }
                 Ok(Piece::End) => {
-                    self.metrics.answered(workspace, &completion.model, 0);
+                    self.metrics.count_answer(workspace, &completion.model, 0);
                     return self.build_answer(completion, id, &text, last.as_ref(), server);
                 }
                 Ok(Piece::Failed(refusal)) => {
@@ -198,7 +198,7 @@
         answer.insert_header("content-type", "application/json");
         self.insert_server_headers(&mut answer, server);
         answer.insert_header(crate::http::header::EXECUTION, Execution::NotRun.as_str());
-        self.metrics.answered(workspace, name, 0);
+        self.metrics.count_answer(workspace, name, 0);
         answer
     }
 }
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -72,7 +72,7 @@
             drop(wait_hop);
             match command {
                 Command::Dispatch(dispatch) => {
-                    self.hop.placed(&dispatch);
+                    self.hop.record_placement(&dispatch);
                     let number = dispatch.attempt;
                     let outcome =
                         self.run_attempt(&dispatch).or(wait_for_abort(&commands, number)).await;
@@ -108,8 +108,8 @@
             return Outcome::Late;
         }
         let hop = self.hop.child("dispatch");
-        hop.note("server", dispatch.id.clone());
-        hop.note("attempt", i64::from(dispatch.attempt));
+        hop.set_attribute("server", dispatch.id.clone());
+        hop.set_attribute("attempt", i64::from(dispatch.attempt));
         let attempt_id = format!("{}.{}", self.id, dispatch.attempt);
         let request = match self.build_request(dispatch, &attempt_id, &hop) {
             Ok(request) => request,
@@ -190,7 +190,7 @@
             .and_then(|value| value.parse().ok());
         let stream_hop = hop.child("stream");
         let outcome = self.relay_stream(dispatch, answer, cached).await;
-        stream_hop.note("position", self.position as i64);
+        stream_hop.set_attribute("position", self.position as i64);
         outcome
     }
 
@@ -285,7 +285,7 @@
             return;
         }
         let time = self.entry.control.clock.now().saturating_sub(self.arrived_at);
-        self.entry.metrics.first_token(&self.completion.model, self.priority, time);
+        self.entry.metrics.record_first_token(&self.completion.model, self.priority, time);
         self.pieces.send(Piece::Begin(dispatch.id.clone())).await.ok();
     }
 }
--- a/src/entry/service.rs
+++ b/src/entry/service.rs
@@ -66,15 +66,15 @@
                     continue;
                 }
             };
-            call.hop.placed(&dispatch);
+            call.hop.record_placement(&dispatch);
             let hop = call.hop.child("dispatch");
-            hop.note("server", dispatch.id.clone());
+            hop.set_attribute("server", dispatch.id.clone());
             let (outcome, answer) = self.send_call(&call, &path, request, &dispatch, &hop).await;
             let attempt = dispatch.attempt;
             let report = Report::Ended(outcome);
             self.control.tell(Message::Report { request, attempt, report });
             if let Some(answer) = answer {
-                self.metrics.answered(&call.workspace, &name, 0);
+                self.metrics.count_answer(&call.workspace, &name, 0);
                 return answer;
             }
             wait_hop = call.hop.child("admission");
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -88,7 +88,7 @@
         },
         force: Arc::new(Force::new(1, String::new(), manifest)),
         workspace: "w".into(),
-        hop: Hop::first("entry", None),
+        hop: Hop::root("entry", None),
         arrived_at: Time::ZERO,
     };
     let dispatch = Dispatch {
--- a/src/error.rs
+++ b/src/error.rs
@@ -44,9 +44,9 @@
     /// Whether the work ran.
     pub execution: Execution,
     /// Seconds after which asking again helps; 0 when it does not.
-    pub retry_after: u32,
+    pub retry_after_s: u32,
     /// Exit code of a program that ends with this code; 0 for codes of HTTP answers.
-    pub exit: u8,
+    pub exit_code: u8,
     /// What happened and what to do, as a full sentence.
     pub text: &'static str,
 }
@@ -74,8 +74,8 @@
                         name: $slug,
                         status: $status,
                         execution: Execution::$execution,
-                        retry_after: $retry,
-                        exit: $exit,
+                        retry_after_s: $retry,
+                        exit_code: $exit,
                         text: $text,
                     },)*
                 }
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -3,7 +3,7 @@
 use super::{Dependency, Node};
 use crate::prelude::*;
 use crate::quota::Role;
-use crate::telemetry::metrics::Figure;
+use crate::telemetry::metrics::Gauge;
 
 /// Counts of this daemon's attempts by outcome, and of other events, since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -50,31 +50,34 @@
 
 impl Node {
     /// Returns the metrics of the node.
-    pub fn metrics(&mut self, now: Time) -> Vec<Figure> {
+    pub fn metrics(&mut self, now: Time) -> Vec<Gauge> {
         let mut figures = vec![
-            Figure::new("ready", u64::from(self.is_ready())),
-            Figure::new("draining", u64::from(self.draining)),
-            Figure::new("table_version", self.table.as_ref().map_or(0, |table| table.version())),
-            Figure::new("open", self.requests.len() as u64),
-            Figure::new("waiting", self.waiting.len() as u64),
-            Figure::new("lease_mine", u64::from(self.lease.fence(now).is_some())),
-            Figure::new("lease_fence", self.lease.held().map_or(0, |held| held.fence)),
-            Figure::new("kv_store_up", u64::from(self.kv_store.is_up(now))),
-            Figure::new("scheduler", u64::from(self.is_scheduler(now))),
-            Figure::new("scheduled_for_others", self.served.len() as u64),
-            Figure::new("submitted", self.counts.submitted),
-            Figure::new("unscheduled", self.counts.unscheduled),
-            Figure::new("records_unreadable", self.counts.unreadable),
-            Figure::new("requests_blocked", self.poison.blocks(now).count() as u64),
-            Figure::new("blocks_unwritten", self.poison.unstored_blocks(now).len() as u64),
+            Gauge::new("ready", u64::from(self.is_ready())),
+            Gauge::new("draining", u64::from(self.draining)),
+            Gauge::new("table_version", self.table.as_ref().map_or(0, |table| table.version())),
+            Gauge::new("open", self.requests.len() as u64),
+            Gauge::new("waiting", self.waiting.len() as u64),
+            Gauge::new("lease_mine", u64::from(self.lease.fence(now).is_some())),
+            Gauge::new("lease_fence", self.lease.held().map_or(0, |held| held.fence)),
+            Gauge::new("kv_store_up", u64::from(self.kv_store.is_up(now))),
+            Gauge::new("scheduler", u64::from(self.is_scheduler(now))),
+            Gauge::new("scheduled_for_others", self.served.len() as u64),
+            Gauge::new("submitted", self.counts.submitted),
+            Gauge::new("unscheduled", self.counts.unscheduled),
+            Gauge::new("records_unreadable", self.counts.unreadable),
+            Gauge::new("requests_blocked", self.poison.blocks(now).count() as u64),
+            Gauge::new("blocks_unwritten", self.poison.unstored_blocks(now).len() as u64),
         ];
         figures.extend(
-            self.counts.rows().map(|(outcome, n)| Figure::of("attempts", "outcome", outcome, n)),
+            self.counts
+                .rows()
+                .map(|(outcome, n)| Gauge::labeled("attempts", "outcome", outcome, n)),
         );
         let refused = self.refusals.iter();
         figures.extend(
-            refused
-                .map(|(code, n)| Figure::of("refused", "code", code.row().number.to_string(), *n)),
+            refused.map(|(code, n)| {
+                Gauge::labeled("refused", "code", code.row().number.to_string(), *n)
+            }),
         );
         self.add_quotas(&mut figures);
         self.add_pools(now, &mut figures);
@@ -84,38 +87,38 @@
     }
 
     /// Adds the keeper's share, and the remaining quota of recently active workspaces.
-    fn add_quotas(&self, figures: &mut Vec<Figure>) {
+    fn add_quotas(&self, figures: &mut Vec<Gauge>) {
         let lent = match self.quota.role() {
             Role::Keeper { lent, .. } => lent,
             Role::Deputy { .. } | Role::Other { .. } => 0.0,
         };
-        figures.push(Figure::new("quota_keeper", u64::from(lent > 0.0)));
-        figures.push(Figure::new("quota_lent_percent", (lent * 100.0).round() as u64));
+        figures.push(Gauge::new("quota_keeper", u64::from(lent > 0.0)));
+        figures.push(Gauge::new("quota_lent_percent", (lent * 100.0).round() as u64));
         for workspace in self.quota.workspaces() {
             let left = self.quota.available(workspace).unwrap_or_default().max(0.0);
-            figures.push(Figure::of("quota_left", "workspace", workspace, left as u64));
+            figures.push(Gauge::labeled("quota_left", "workspace", workspace, left as u64));
         }
     }
 
-    fn add_pools(&mut self, now: Time, figures: &mut Vec<Figure>) {
+    fn add_pools(&mut self, now: Time, figures: &mut Vec<Gauge>) {
         for (pool, keys) in &self.pools {
             let usable = keys.iter().filter_map(|key| self.servers.get(*key));
             let usable = usable.filter(|server| server.is_usable(now)).count();
-            figures.push(Figure::of("servers", "pool", pool, keys.len() as u64));
-            figures.push(Figure::of("servers_usable", "pool", pool, usable as u64));
+            figures.push(Gauge::labeled("servers", "pool", pool, keys.len() as u64));
+            figures.push(Gauge::labeled("servers_usable", "pool", pool, usable as u64));
         }
         let terms = self.retry_terms(now);
         for (pool, budget) in &mut self.budgets {
             let left = budget.remaining(now, terms);
-            figures.push(Figure::of("retries_left", "pool", pool, left));
+            figures.push(Gauge::labeled("retries_left", "pool", pool, left));
         }
     }
 
-    fn add_servers(&self, now: Time, figures: &mut Vec<Figure>) {
+    fn add_servers(&self, now: Time, figures: &mut Vec<Gauge>) {
         for (key, server) in &self.servers {
             let id = server.entry.incarnation.id.as_str();
             let load = self.load(key, server);
-            let mut show = |name, value| figures.push(Figure::of(name, "server", id, value));
+            let mut show = |name, value| figures.push(Gauge::labeled(name, "server", id, value));
             show("running", u64::from(load.running));
             show("unread_tokens", u64::from(load.pending_tokens));
             show("usable", u64::from(server.is_usable(now)));
@@ -135,15 +138,15 @@
     }
 
     /// Adds the time since which each topic can't be read, and the age of each peer's last digest.
-    fn add_ages(&self, now: Time, figures: &mut Vec<Figure>) {
+    fn add_ages(&self, now: Time, figures: &mut Vec<Gauge>) {
         for tracked in Dependency::ALL {
             let unread = self.unread_since.get(&tracked);
             let unread = unread.map_or(0, |since| ms(now.saturating_sub(*since)));
-            figures.push(Figure::of("unread_ms", "topic", tracked.name(), unread));
+            figures.push(Gauge::labeled("unread_ms", "topic", tracked.name(), unread));
         }
         for (id, heard) in self.peers_heard() {
             let age = ms(now.saturating_sub(heard));
-            figures.push(Figure::of("peer_age_ms", "peer", id, age));
+            figures.push(Gauge::labeled("peer_age_ms", "peer", id, age));
         }
     }
 }
--- a/src/fleet/run.rs
+++ b/src/fleet/run.rs
@@ -16,7 +16,7 @@
 use crate::prelude::*;
 use crate::route::Table;
 use crate::telemetry::emit;
-use crate::telemetry::metrics::Figure;
+use crate::telemetry::metrics::Gauge;
 
 /// Time between two ticks while requests wait or engines load.
 const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -33,7 +33,7 @@
     /// A new request, and the channel for its commands.
     Open(Box<Arrival>, Sender<Command>),
     /// A query for metrics, and the channel for the result.
-    Metrics(Sender<Vec<Figure>>),
+    Metrics(Sender<Vec<Gauge>>),
 }
 
 /// State of the node that other threads read directly.
@@ -119,7 +119,7 @@
     }
 
     /// The node's metrics; empty if the control thread has ended.
-    pub async fn metrics(&self) -> Vec<Figure> {
+    pub async fn metrics(&self) -> Vec<Gauge> {
         let (sender, receiver) = async_channel::bounded(1);
         self.sender.try_send(Input::Metrics(sender)).ok();
         receiver.recv().await.unwrap_or_default()
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -70,7 +70,7 @@
     }
 
     async fn metrics(&self) -> Response {
-        let text = self.control.status().await.map(|status| self.metrics.text(status.figures()));
+        let text = self.control.status().await.map(|status| self.metrics.render(status.figures()));
         server::text(200, text.unwrap_or_default(), "text/plain; version=0.0.4")
     }
 
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -221,7 +221,7 @@
     if let Some(first) = delivery.progress.first_byte() {
         let waited = first.saturating_sub(summary.started);
         let priority = delivery.route.priority.to_string();
-        frontend.metrics.first_token(&summary.route, priority, waited);
+        frontend.metrics.record_first_token(&summary.route, priority, waited);
     }
     drop(delivery);
     summary.record(&outcome);
@@ -269,7 +269,7 @@
             Outcome::Code(code, retry_after) => (code.row().name, Some(*code), *retry_after),
         };
         let number = code.map_or(0, |code| code.row().number);
-        self.frontend.metrics.answered(&self.workspace, &self.route, number);
+        self.frontend.metrics.count_answer(&self.workspace, &self.route, number);
         let detail = Detail::of("request", self.id.as_str())
             .and("route", self.route.as_str())
             .and("workspace", self.workspace.as_str())
--- a/src/telemetry/budget.rs
+++ b/src/telemetry/budget.rs
@@ -55,12 +55,12 @@
     }
 
     /// Notes the size of a line that was written.
-    pub fn wrote(&mut self, bytes: usize) {
+    pub fn record_written(&mut self, bytes: usize) {
         self.bytes.take(bytes as f64);
     }
 
     /// Counts a line that was admitted and could not be written.
-    pub fn lose(&mut self) {
+    pub fn count_unwritten(&mut self) {
         *self.dropped.entry(UNWRITTEN).or_default() += 1;
     }
 
--- a/src/telemetry/detail.rs
+++ b/src/telemetry/detail.rs
@@ -13,11 +13,11 @@
     /// A text.
     Text(String),
     /// A whole number.
-    Count(u64),
+    Integer(u64),
     /// A number.
-    Real(f64),
+    Float(f64),
     /// Yes or no.
-    Flag(bool),
+    Bool(bool),
 }
 
 impl From<&str> for Value {
@@ -33,39 +33,39 @@
 }
 
 impl From<u64> for Value {
-    fn from(count: u64) -> Self {
-        Self::Count(count)
+    fn from(number: u64) -> Self {
+        Self::Integer(number)
     }
 }
 
 impl From<u32> for Value {
-    fn from(count: u32) -> Self {
-        Self::Count(u64::from(count))
+    fn from(number: u32) -> Self {
+        Self::Integer(u64::from(number))
     }
 }
 
 impl From<usize> for Value {
-    fn from(count: usize) -> Self {
-        Self::Count(count as u64)
+    fn from(number: usize) -> Self {
+        Self::Integer(number as u64)
     }
 }
 
 impl From<f64> for Value {
     fn from(number: f64) -> Self {
-        Self::Real(number)
+        Self::Float(number)
     }
 }
 
 impl From<bool> for Value {
     fn from(flag: bool) -> Self {
-        Self::Flag(flag)
+        Self::Bool(flag)
     }
 }
 
 impl From<Duration> for Value {
     /// Whole milliseconds.
     fn from(time: Duration) -> Self {
-        Self::Count(u64::try_from(time.as_millis()).unwrap_or(u64::MAX))
+        Self::Integer(u64::try_from(time.as_millis()).unwrap_or(u64::MAX))
     }
 }
 
@@ -79,9 +79,9 @@
     fn to_value(&self) -> kv::Value<'_> {
         match self {
             Self::Text(text) => kv::Value::from(text.as_str()),
-            Self::Count(count) => kv::Value::from(*count),
-            Self::Real(number) => kv::Value::from(*number),
-            Self::Flag(flag) => kv::Value::from(*flag),
+            Self::Integer(number) => kv::Value::from(*number),
+            Self::Float(number) => kv::Value::from(*number),
+            Self::Bool(flag) => kv::Value::from(*flag),
         }
     }
 }
@@ -90,9 +90,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Text(text) => f.write_str(text),
-            Self::Count(count) => count.fmt(f),
-            Self::Real(number) => number.fmt(f),
-            Self::Flag(flag) => flag.fmt(f),
+            Self::Integer(number) => number.fmt(f),
+            Self::Float(number) => number.fmt(f),
+            Self::Bool(flag) => flag.fmt(f),
         }
     }
 }
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -186,8 +186,8 @@
         let Some(lines) = LINES.get() else { return Ok(()) };
         let bytes = line.len();
         match lines.queue.try_send(Letter::Line(line)) {
-            Ok(()) => lines.budget().wrote(bytes),
-            Err(_) => lines.budget().lose(),
+            Ok(()) => lines.budget().record_written(bytes),
+            Err(_) => lines.budget().count_unwritten(),
         }
         Ok(())
     }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -14,36 +14,41 @@
 
 /// One value of a daemon's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Figure {
+pub struct Gauge {
     /// What it is.
     pub name: &'static str,
     /// What it belongs to: the label's name and value.
-    pub of: Option<(&'static str, String)>,
+    pub label: Option<(&'static str, String)>,
     /// The value.
     pub value: u64,
 }
 
-impl Figure {
+impl Gauge {
     /// A value of the daemon as a whole.
     pub fn new(name: &'static str, value: u64) -> Self {
-        Self { name, of: None, value }
+        Self { name, label: None, value }
     }
 
     /// A value of one pool, server, peer or the like.
     ///
     /// ```
-    /// use cardamomvalve::telemetry::metrics::Figure;
-    /// let figure = Figure::of("running", "server", "s-1", 3);
-    /// assert_eq!(figure.of, Some(("server", "s-1".to_owned())));
+    /// use cardamomvalve::telemetry::metrics::Gauge;
+    /// let gauge = Gauge::labeled("running", "server", "s-1", 3);
+    /// assert_eq!(gauge.label, Some(("server", "s-1".to_owned())));
     /// ```
-    pub fn of(name: &'static str, label: &'static str, of: impl Into<String>, value: u64) -> Self {
-        Self { name, of: Some((label, of.into())), value }
+    pub fn labeled(
+        name: &'static str,
+        label: &'static str,
+        label_value: impl Into<String>,
+        value: u64,
+    ) -> Self {
+        Self { name, label: Some((label, label_value.into())), value }
     }
 
     fn labels(&self) -> Vec<KeyValue> {
         let name = KeyValue::new("name", self.name);
-        let of = self.of.iter().map(|(label, value)| KeyValue::new(*label, value.clone()));
-        std::iter::once(name).chain(of).collect()
+        let label = self.label.iter().map(|(key, value)| KeyValue::new(*key, value.clone()));
+        std::iter::once(name).chain(label).collect()
     }
 }
 
@@ -55,7 +60,7 @@
     answers: Counter<u64>,
     first_token: Histogram<f64>,
     /// What is shown next of the daemon's state.
-    figures: Arc<Mutex<Vec<Figure>>>,
+    gauges: Arc<Mutex<Vec<Gauge>>>,
 }
 
 impl Metrics {
@@ -78,23 +83,23 @@
             .with_description("Time from a request's arrival to its first token")
             .with_boundaries(TTFT_BOUNDS.to_vec())
             .build();
-        let figures: Arc<Mutex<Vec<Figure>>> = Arc::default();
-        let shown = Arc::clone(&figures);
+        let gauges: Arc<Mutex<Vec<Gauge>>> = Arc::default();
+        let shown = Arc::clone(&gauges);
         // Observed anew each time, so that what has gone is no longer shown.
         meter
             .u64_observable_gauge("cardamomvalve_state")
             .with_description("The daemon's state, by name")
-            .with_callback(move |gauge| {
-                for figure in shown.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-                    gauge.observe(figure.value, &figure.labels());
+            .with_callback(move |observer| {
+                for gauge in shown.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+                    observer.observe(gauge.value, &gauge.labels());
                 }
             })
             .build();
-        Ok(Self { registry, _provider: provider, answers, first_token, figures })
+        Ok(Self { registry, _provider: provider, answers, first_token, gauges })
     }
 
     /// Counts an answer; `code` is 0 where it is the backend server's own.
-    pub fn answered(&self, workspace: &str, target: &str, code: u16) {
+    pub fn count_answer(&self, workspace: &str, target: &str, code: u16) {
         self.answers.add(
             1,
             &[
@@ -106,7 +111,7 @@
     }
 
     /// Notes the time from a request's arrival to its first token, by its model or route.
-    pub fn first_token(&self, target: &str, priority: impl Into<String>, time: Duration) {
+    pub fn record_first_token(&self, target: &str, priority: impl Into<String>, time: Duration) {
         let labels = [
             KeyValue::new("target", target.to_owned()),
             KeyValue::new("priority", priority.into()),
@@ -115,8 +120,8 @@
     }
 
     /// The metrics as Prometheus text, with these values of the daemon's state.
-    pub fn text(&self, figures: Vec<Figure>) -> String {
-        *self.figures.lock().unwrap_or_else(PoisonError::into_inner) = figures;
+    pub fn render(&self, gauges: Vec<Gauge>) -> String {
+        *self.gauges.lock().unwrap_or_else(PoisonError::into_inner) = gauges;
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -28,7 +28,7 @@
 fn admit_warnings_though_the_bytes_are_used_up() {
     let mut budget = Budget::new(ms(0), RATE);
     assert!(budget.admit(ms(0), Event::AttemptSent));
-    budget.wrote(5_000);
+    budget.record_written(5_000);
     assert!(!budget.admit(ms(1), Event::AttemptSent));
     assert!(budget.admit(ms(1), Event::LogDown));
     assert!(budget.admit(ms(3_500), Event::AttemptSent));
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn lose_is_counted_apart() {
+fn count_unwritten_is_apart_from_events() {
     let mut budget = Budget::new(ms(0), RATE);
-    budget.lose();
-    budget.lose();
+    budget.count_unwritten();
+    budget.count_unwritten();
     assert_eq!(budget.take_dropped(), BTreeMap::from([("unwritten", 2)]));
 }
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -74,7 +74,7 @@
 
 impl Hop {
     /// The first hop; its parent is the caller's span, if `traceparent` names one.
-    pub fn first(name: &'static str, traceparent: Option<&str>) -> Self {
+    pub fn root(name: &'static str, traceparent: Option<&str>) -> Self {
         let mut carrier = std::collections::HashMap::new();
         if let Some(value) = traceparent {
             carrier.insert(header::TRACEPARENT.to_owned(), value.to_owned());
@@ -94,16 +94,16 @@
     }
 
     /// A hop for where control sent an attempt.
-    pub fn placed(&self, dispatch: &Dispatch) {
+    pub fn record_placement(&self, dispatch: &Dispatch) {
         let hop = self.child("placement");
-        hop.note("server", dispatch.id.clone());
-        hop.note("attempt", i64::from(dispatch.attempt));
-        hop.note("resume", dispatch.resume);
-        hop.note("import_blocks", dispatch.import.as_ref().map_or(0, |i| i.blocks as i64));
+        hop.set_attribute("server", dispatch.id.clone());
+        hop.set_attribute("attempt", i64::from(dispatch.attempt));
+        hop.set_attribute("resume", dispatch.resume);
+        hop.set_attribute("import_blocks", dispatch.import.as_ref().map_or(0, |i| i.blocks as i64));
     }
 
     /// Notes an attribute.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         self.0.span().set_attribute(KeyValue::new(key, value.into()));
     }
 
