--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 use super::options::Check;
-use super::pretty;
+use super::pretty_json;
 use crate::manifest::{Fault, Manifest, parse};
 use crate::prelude::*;
 use crate::settings::read_file;
@@ -12,7 +12,7 @@
 pub(super) fn run(options: &Check) -> Result<String> {
     let manifest = load(&options.file, options.json)?;
     if options.json {
-        return Ok(pretty(&json!({ "valid": true, "faults": [] })));
+        return Ok(pretty_json(&json!({ "valid": true, "faults": [] })));
     }
     Ok(format!(
         "The manifest is valid: {} workspaces, {} models, {} services, {} pools.",
@@ -26,17 +26,17 @@
 /// Reads a manifest; the error names every fault.
 pub(super) fn load(path: &std::path::Path, as_json: bool) -> Result<Manifest> {
     parse(&read_file(path)?).map_err(|faults| {
-        let detail = if as_json { as_json_faults(&faults) } else { as_lines(&faults) };
+        let detail = if as_json { faults_as_json(&faults) } else { faults_as_text(&faults) };
         Error::new(Code::ManifestInvalid, detail)
     })
 }
 
-fn as_lines(faults: &[Fault]) -> String {
+fn faults_as_text(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("\n  {fault}")).collect();
     format!("{} faults:{}", faults.len(), lines.concat())
 }
 
-fn as_json_faults(faults: &[Fault]) -> String {
+fn faults_as_json(faults: &[Fault]) -> String {
     let faults: Vec<_> = faults
         .iter()
         .map(|fault| json!({ "path": fault.path, "value": fault.value, "allowed": fault.allowed }))
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 use super::options::Explain;
-use super::{ask, pretty};
+use super::{fetch_json, pretty_json};
 use crate::prelude::*;
 use crate::settings::read_file;
 
@@ -17,9 +17,9 @@
         "prompt": prompt,
         "levels": options.levels,
     });
-    let answer = ask(options.daemon, Method::Post, "/explain", Some(question.to_string()))?;
+    let answer = fetch_json(options.daemon, Method::Post, "/explain", Some(question.to_string()))?;
     if options.json {
-        return Ok(pretty(&answer));
+        return Ok(pretty_json(&answer));
     }
     let mut lines = vec![format!(
         "{:16} {:>4} {:>13} {:>10} {:>13} {:>10} {:>5}",
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -46,7 +46,12 @@
 }
 
 /// Asks a daemon's operators' address and reads JSON.
-fn ask(address: SocketAddr, method: Method, path: &str, body: Option<String>) -> Result<Value> {
+fn fetch_json(
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: Option<String>,
+) -> Result<Value> {
     let unreachable =
         |reason: String| Error::new(Code::DaemonUnreachable, format!("{address}: {reason}"));
     let (status, bytes) = block_on(send_json(address, method, path, body, LIMITS))
@@ -60,6 +65,6 @@
     Err(unreachable(format!("it answered {status}: {message}")))
 }
 
-fn pretty(value: &impl serde::Serialize) -> String {
+fn pretty_json(value: &impl serde::Serialize) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
--- a/src/cli/schema.rs
+++ b/src/cli/schema.rs
@@ -2,14 +2,14 @@
 
 use schemars::schema_for;
 
-use super::{Schema, pretty};
+use super::{Schema, pretty_json};
 use crate::manifest::Manifest;
 use crate::settings::Settings;
 
 /// The schema of a file.
 pub(super) fn run(of: Schema) -> String {
     match of {
-        Schema::Settings => pretty(&schema_for!(Settings)),
-        Schema::Manifest => pretty(&schema_for!(Manifest)),
+        Schema::Settings => pretty_json(&schema_for!(Settings)),
+        Schema::Manifest => pretty_json(&schema_for!(Manifest)),
     }
 }
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -4,13 +4,13 @@
 use serde_json::Value;
 
 use super::options::Status;
-use super::{ask, pretty};
+use super::{fetch_json, pretty_json};
 use crate::prelude::*;
 
 /// Shows the state.
 pub(super) fn run(options: &Status) -> Result<String> {
-    let status = ask(options.daemon, Method::Get, "/status", None)?;
-    Ok(if options.json { pretty(&status) } else { table(&status) })
+    let status = fetch_json(options.daemon, Method::Get, "/status", None)?;
+    Ok(if options.json { pretty_json(&status) } else { table(&status) })
 }
 
 fn table(status: &Value) -> String {
--- a/src/cli/tables.rs
+++ b/src/cli/tables.rs
@@ -2,14 +2,14 @@
 
 use serde_json::{Value, json};
 
-use super::pretty;
+use super::pretty_json;
 use crate::prelude::*;
 
 /// The table of result codes, as Markdown or JSON.
 pub(super) fn codes(as_json: bool) -> String {
     if as_json {
         let rows: Vec<Value> = Code::ALL.iter().map(|code| code_row(*code)).collect();
-        return pretty(&rows);
+        return pretty_json(&rows);
     }
     let mut lines = vec![
         "| code | name | HTTP status | execution | retry after | exit | meaning |".to_owned(),
@@ -58,7 +58,7 @@
                 })
             })
             .collect();
-        return pretty(&rows);
+        return pretty_json(&rows);
     }
     let mut lines = vec![
         "| event | name | level | meaning |".to_owned(),
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -2,13 +2,13 @@
 
 use std::io::Write;
 
-use super::publish::Race;
+use super::publish::Publication;
 use super::{Command, Options, Trace, run, tables};
 use crate::manifest::{Body, FORMAT, Record};
 use crate::prelude::*;
 
 /// The rows of a page's table must be those of the code.
-fn page_holds(page: &str, table: &str) {
+fn assert_page_matches(page: &str, table: &str) {
     for line in table.lines() {
         assert!(page.contains(line), "the page lacks: {line}");
     }
@@ -18,19 +18,19 @@
 
 #[test]
 fn codes_page_matches() {
-    page_holds(include_str!("../../docs/CODES.md"), &tables::codes(false));
+    assert_page_matches(include_str!("../../docs/CODES.md"), &tables::codes(false));
 }
 
 #[test]
 fn events_page_matches() {
-    page_holds(include_str!("../../docs/EVENTS.md"), &tables::events(false));
+    assert_page_matches(include_str!("../../docs/EVENTS.md"), &tables::events(false));
 }
 
 /// Prints the history of request `r-1` from files with these lines.
 fn trace(files: &[&[&str]], json: bool) -> Result<String> {
-    static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
+    static NEXT_FILE: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let paths = files.iter().map(|lines| {
-        let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let number = NEXT_FILE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let name = format!("cardamomvalve-trace-{}-{number}.log", std::process::id());
         let path = std::env::temp_dir().join(name);
         let mut file = std::fs::File::create(&path).expect("it can be made");
@@ -48,11 +48,11 @@
 
 const SENT: &str = r#"{"time":"2026-12-02T10:00:01.500Z","uptime_ms":1500,"daemon":"a","event":405,"name":"AttemptSent","request":"r-1","server":"s-1"}"#;
 const ENDED: &str = r#"{"time":"2026-12-02T10:00:02.000Z","uptime_ms":2000,"daemon":"a","event":410,"name":"RequestEnded","request":"r-1","outcome":"cut"}"#;
-const OTHER: &str = r#"{"time":"2026-12-02T10:00:01.600Z","uptime_ms":1600,"daemon":"a","event":405,"name":"AttemptSent","request":"r-2","server":"s-1"}"#;
+const OTHER_REQUEST: &str = r#"{"time":"2026-12-02T10:00:01.600Z","uptime_ms":1600,"daemon":"a","event":405,"name":"AttemptSent","request":"r-2","server":"s-1"}"#;
 const REMOVED: &str = r#"{"time":"2026-12-02T10:00:01.800Z","uptime_ms":9000,"daemon":"b","event":302,"name":"ServerRemoved","server":"s-1"}"#;
-const ELSEWHERE: &str = r#"{"time":"2026-12-02T10:00:01.810Z","uptime_ms":9010,"daemon":"b","event":302,"name":"ServerRemoved","server":"s-7"}"#;
+const OTHER_SERVER: &str = r#"{"time":"2026-12-02T10:00:01.810Z","uptime_ms":9010,"daemon":"b","event":302,"name":"ServerRemoved","server":"s-7"}"#;
 
-fn names(text: &str) -> Vec<&str> {
+fn event_names(text: &str) -> Vec<&str> {
     text.lines()
         .skip(1)
         .filter_map(|line| {
@@ -62,20 +62,21 @@
 }
 
 #[test]
-fn trace_orders_lines_of_all_daemons_and_shows_what_happened_beside() {
-    let text = trace(&[&[ENDED, "no log line", SENT, OTHER], &[REMOVED, ELSEWHERE]], false);
+fn trace_orders_lines_of_all_daemons_and_adds_related_events() {
+    let text =
+        trace(&[&[ENDED, "no log line", SENT, OTHER_REQUEST], &[REMOVED, OTHER_SERVER]], false);
     let text = text.expect("it has lines");
-    assert_eq!(names(&text), ["AttemptSent", "ServerRemoved", "RequestEnded"], "{text}");
+    assert_eq!(event_names(&text), ["AttemptSent", "ServerRemoved", "RequestEnded"], "{text}");
     assert!(text.contains("~    +300 ms  b"), "{text}");
     assert!(text.starts_with("request r-1: 2 lines of a, from 2026-12-02T10:00:01.500Z"), "{text}");
 }
 
 #[test]
-fn trace_is_not_misled_by_a_clock_that_jumps() {
+fn trace_clock_jump_keeps_order() {
     let jumped = ENDED.replace("10:00:02.000Z", "11:06:42.000Z");
-    let lines = [SENT, OTHER, OTHER, jumped.as_str()];
+    let lines = [SENT, OTHER_REQUEST, OTHER_REQUEST, jumped.as_str()];
     let text = trace(&[&lines, &[REMOVED]], false).expect("it has lines");
-    assert_eq!(names(&text), ["AttemptSent", "ServerRemoved", "RequestEnded"], "{text}");
+    assert_eq!(event_names(&text), ["AttemptSent", "ServerRemoved", "RequestEnded"], "{text}");
     assert!(text.contains("    +500 ms  a"), "{text}");
 }
 
@@ -90,7 +91,8 @@
 
 #[test]
 fn trace_unknown_request_is_an_error() {
-    let error = trace(&[&[OTHER, "{}", "{\"time\":1}"]], false).expect_err("nothing is known");
+    let error =
+        trace(&[&[OTHER_REQUEST, "{}", "{\"time\":1}"]], false).expect_err("nothing is known");
     assert_eq!(error.code, Code::RequestUnknown);
 }
 
@@ -112,15 +114,15 @@
 }
 
 #[test]
-fn publish_replaced_before_it_is_read_back_has_won() {
+fn publish_replaced_before_it_is_read_back_is_accepted() {
     // The publisher reads its own record and its successor's in one go.
     let log = [record("first", 0), record("second", 1), record("late", 1)];
-    let won = |id: &str| {
-        let mut race = Race::new(id.into());
+    let accepted = |id: &str| {
+        let mut publication = Publication::new(id.into());
         for (offset, text) in (0..).zip(&log) {
-            race.fold(offset, text);
+            publication.fold(offset, text);
         }
-        race.won()
+        publication.accepted()
     };
-    assert_eq!((won("first"), won("second"), won("late")), (Some(1), Some(2), None));
+    assert_eq!((accepted("first"), accepted("second"), accepted("late")), (Some(1), Some(2), None));
 }
--- a/src/telemetry/budget.rs
+++ b/src/telemetry/budget.rs
@@ -26,7 +26,7 @@
 }
 
 /// The name under which lines are counted that found the queue to the writing thread full.
-const UNWRITTEN: &str = "unwritten";
+const UNWRITTEN_KEY: &str = "unwritten";
 
 impl Budget {
     /// A budget that is full at `now`.
@@ -61,7 +61,7 @@
 
     /// Counts a line that was admitted and could not be written.
     pub fn count_unwritten(&mut self) {
-        *self.dropped.entry(UNWRITTEN).or_default() += 1;
+        *self.dropped.entry(UNWRITTEN_KEY).or_default() += 1;
     }
 
     /// What was left out since the last call, by the event's name.
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -24,36 +24,36 @@
 /// What log lines of this project are filtered by.
 const TARGET: &str = "cardamomvalve";
 /// Lines that wait to be written; more are left out.
-const MAX_WAITING: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 /// Time in which lines are gathered into one write: a write a line would wake a thread for each.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Time between two lines that say what was left out.
-const SAY_DROPPED: Duration = Duration::from_secs(1);
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time that the end of a process waits for its last lines to be written.
-const FLUSH: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The lines of this process.
-static LINES: OnceLock<Lines> = OnceLock::new();
+static LOGGER: OnceLock<Logger> = OnceLock::new();
 
 /// What the lines of a process share.
 #[derive(Debug)]
-struct Lines {
+struct Logger {
     daemon: String,
     clock: Clock,
     budget: Mutex<Budget>,
-    queue: SyncSender<Letter>,
+    queue: SyncSender<Message>,
 }
 
 /// What the writing thread is sent.
 #[derive(Debug)]
-enum Letter {
+enum Message {
     /// A line, with its end.
     Line(Vec<u8>),
     /// Answer once all before this is written.
     Flush(SyncSender<()>),
 }
 
-impl Lines {
+impl Logger {
     fn budget(&self) -> MutexGuard<'_, Budget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -70,20 +70,20 @@
     let clock = Clock::start();
     let rate =
         Rate { lines_per_s: settings.log_lines_per_s, bytes_per_s: settings.log_bytes_per_s };
-    let (queue, letters) = sync_channel(MAX_WAITING);
+    let (queue, messages) = sync_channel(MAX_QUEUED_LINES);
     let budget = Mutex::new(Budget::new(clock.now(), rate));
-    let lines = Lines { daemon: daemon.to_owned(), clock, budget, queue };
-    if LINES.set(lines).is_err() {
+    let logger = Logger { daemon: daemon.to_owned(), clock, budget, queue };
+    if LOGGER.set(logger).is_err() {
         return;
     }
-    thread::spawn(move || write_all(&letters));
+    thread::spawn(move || run_writer(&messages));
     let layout: Box<dyn Layout> = match settings.log_format {
         LogFormat::Text => Box::new(TextLayout::default().no_color()),
-        LogFormat::Json => Box::new(Flat),
+        LogFormat::Json => Box::new(JsonLayout),
     };
     let filter = RustLogFilterBuilder::from_spec(format!("off,{TARGET}={level}")).build();
     logforth::starter_log::builder()
-        .dispatch(|dispatch| dispatch.filter(filter).append(Queue { layout }))
+        .dispatch(|dispatch| dispatch.filter(filter).append(Appender { layout }))
         .try_apply()
         .ok();
 }
@@ -93,11 +93,11 @@
     if !log::log_enabled!(target: TARGET, event.level()) {
         return;
     }
-    let Some(lines) = LINES.get() else { return };
-    if !lines.budget().admit(lines.clock.now(), event) {
+    let Some(logger) = LOGGER.get() else { return };
+    if !logger.budget().admit(logger.clock.now(), event) {
         return;
     }
-    let line = Line { event, detail: &detail, uptime: lines.clock.now(), daemon: &lines.daemon };
+    let line = Line { event, detail: &detail, uptime: logger.clock.now(), daemon: &logger.daemon };
     let mut record = log::Record::builder();
     record.level(event.level()).target(TARGET).key_values(&line);
     log::logger().log(&record.args(format_args!("{}", event.text())).build());
@@ -105,10 +105,10 @@
 
 /// Waits for a bounded time until what was logged is written.
 pub fn flush() {
-    let Some(lines) = LINES.get() else { return };
+    let Some(logger) = LOGGER.get() else { return };
     let (done, written) = sync_channel(1);
-    if lines.queue.try_send(Letter::Flush(done)).is_ok() {
-        written.recv_timeout(FLUSH).ok();
+    if logger.queue.try_send(Message::Flush(done)).is_ok() {
+        written.recv_timeout(FLUSH_TIMEOUT).ok();
     }
 }
 
@@ -136,7 +136,7 @@
 
 /// One JSON object a line, its fields side by side.
 #[derive(Debug)]
-struct Flat;
+struct JsonLayout;
 
 struct Collector<'a>(&'a mut Map<String, Json>);
 
@@ -152,7 +152,7 @@
     }
 }
 
-impl Layout for Flat {
+impl Layout for JsonLayout {
     fn format(
         &self,
         record: &Record,
@@ -171,11 +171,11 @@
 
 /// Hands lines to the writing thread.
 #[derive(Debug)]
-struct Queue {
+struct Appender {
     layout: Box<dyn Layout>,
 }
 
-impl Append for Queue {
+impl Append for Appender {
     fn append(
         &self,
         record: &Record,
@@ -183,11 +183,11 @@
     ) -> std::result::Result<(), logforth::Error> {
         let mut line = self.layout.format(record, diagnostics)?;
         line.push(b'\n');
-        let Some(lines) = LINES.get() else { return Ok(()) };
+        let Some(logger) = LOGGER.get() else { return Ok(()) };
         let bytes = line.len();
-        match lines.queue.try_send(Letter::Line(line)) {
-            Ok(()) => lines.budget().record_written(bytes),
-            Err(_) => lines.budget().count_unwritten(),
+        match logger.queue.try_send(Message::Line(line)) {
+            Ok(()) => logger.budget().record_written(bytes),
+            Err(_) => logger.budget().count_unwritten(),
         }
         Ok(())
     }
@@ -199,45 +199,45 @@
 }
 
 /// Writes what comes, many lines at a time, and says now and then what was left out.
-fn write_all(letters: &Receiver<Letter>) {
-    let mut said = Time::ZERO;
+fn run_writer(messages: &Receiver<Message>) {
+    let mut reported_at = Time::ZERO;
     loop {
-        let first = match letters.recv_timeout(SAY_DROPPED) {
-            Ok(letter) => Some(letter),
+        let first = match messages.recv_timeout(DROP_REPORT_INTERVAL) {
+            Ok(message) => Some(message),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         let mut bytes = Vec::new();
-        let mut waiting = Vec::new();
-        let flushing = matches!(first, Some(Letter::Flush(_)));
+        let mut flushes = Vec::new();
+        let flushing = matches!(first, Some(Message::Flush(_)));
         if first.is_some() && !flushing {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_DELAY);
         }
-        for letter in first.into_iter().chain(letters.try_iter()) {
-            match letter {
-                Letter::Line(line) => bytes.extend_from_slice(&line),
-                Letter::Flush(done) => waiting.push(done),
+        for message in first.into_iter().chain(messages.try_iter()) {
+            match message {
+                Message::Line(line) => bytes.extend_from_slice(&line),
+                Message::Flush(done) => flushes.push(done),
             }
         }
         let mut output = std::io::stdout().lock();
         // Where standard output can't be written to there is nobody left to tell.
         output.write_all(&bytes).and_then(|()| output.flush()).ok();
         drop(output);
-        for done in waiting {
+        for done in flushes {
             done.try_send(()).ok();
         }
-        say_dropped(&mut said);
+        report_dropped(&mut reported_at);
     }
 }
 
-fn say_dropped(said: &mut Time) {
-    let Some(lines) = LINES.get() else { return };
-    let now = lines.clock.now();
-    if now < *said + SAY_DROPPED {
+fn report_dropped(reported_at: &mut Time) {
+    let Some(logger) = LOGGER.get() else { return };
+    let now = logger.clock.now();
+    if now < *reported_at + DROP_REPORT_INTERVAL {
         return;
     }
-    *said = now;
-    let dropped = lines.budget().take_dropped();
+    *reported_at = now;
+    let dropped = logger.budget().take_dropped();
     if dropped.is_empty() {
         return;
     }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -84,13 +84,13 @@
             .with_boundaries(TTFT_BOUNDS.to_vec())
             .build();
         let gauges: Arc<Mutex<Vec<Gauge>>> = Arc::default();
-        let shown = Arc::clone(&gauges);
+        let observed = Arc::clone(&gauges);
         // Observed anew each time, so that what has gone is no longer shown.
         meter
             .u64_observable_gauge("cardamomvalve_state")
             .with_description("The daemon's state, by name")
             .with_callback(move |observer| {
-                for gauge in shown.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+                for gauge in observed.lock().unwrap_or_else(PoisonError::into_inner).iter() {
                     observer.observe(gauge.value, &gauge.labels());
                 }
             })
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -10,22 +10,22 @@
 }
 
 /// How many of `count` lines at `now` are admitted.
-fn admitted(budget: &mut Budget, now: Time, event: Event, count: u32) -> u32 {
+fn count_admitted(budget: &mut Budget, now: Time, event: Event, count: u32) -> u32 {
     (0..count).map(|_| u32::from(budget.admit(now, event))).sum()
 }
 
 #[test]
 fn admit_flood_of_one_event_leaves_room_for_others() {
     let mut budget = Budget::new(ms(0), RATE);
-    assert_eq!(admitted(&mut budget, ms(0), Event::AttemptSent, 1_000), 20);
-    assert_eq!(admitted(&mut budget, ms(0), Event::RequestRefused, 5), 5);
-    assert_eq!(admitted(&mut budget, ms(500), Event::AttemptSent, 1_000), 5);
+    assert_eq!(count_admitted(&mut budget, ms(0), Event::AttemptSent, 1_000), 20);
+    assert_eq!(count_admitted(&mut budget, ms(0), Event::RequestRefused, 5), 5);
+    assert_eq!(count_admitted(&mut budget, ms(500), Event::AttemptSent, 1_000), 5);
     assert_eq!(budget.take_dropped(), BTreeMap::from([("AttemptSent", 1_975)]));
     assert!(budget.take_dropped().is_empty());
 }
 
 #[test]
-fn admit_warnings_though_the_bytes_are_used_up() {
+fn admit_warnings_without_byte_allowance() {
     let mut budget = Budget::new(ms(0), RATE);
     assert!(budget.admit(ms(0), Event::AttemptSent));
     budget.record_written(5_000);
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn admit_allowance_is_not_saved_without_end() {
+fn admit_burst_is_bounded() {
     let mut budget = Budget::new(ms(0), RATE);
-    assert_eq!(admitted(&mut budget, ms(3_600_000), Event::AttemptSent, 1_000), 20);
+    assert_eq!(count_admitted(&mut budget, ms(3_600_000), Event::AttemptSent, 1_000), 20);
 }
 
 #[test]
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -19,8 +19,8 @@
 use crate::http::{client, header};
 use crate::prelude::*;
 
-const SCOPE: &str = "cardamomvalve";
-const LIMITS: client::Limits = client::Limits {
+const SERVICE_NAME: &str = "cardamomvalve";
+const EXPORT_LIMITS: client::Limits = client::Limits {
     connect_timeout: Duration::from_millis(500),
     head_timeout: Duration::from_secs(2),
     idle_timeout: Duration::from_secs(2),
@@ -29,20 +29,21 @@
 
 /// Sends exported spans to a collector.
 #[derive(Debug)]
-struct Collector {
+struct Client {
     address: SocketAddr,
 }
 
 #[async_trait]
-impl HttpClient for Collector {
+impl HttpClient for Client {
     async fn send_bytes(&self, request: Request<Bytes>) -> Result<Response<Bytes>, HttpError> {
         let path = request.uri().path().to_owned();
-        let mut sent = client::request(Method::Post, self.address, &path)?;
+        let mut outgoing = client::request(Method::Post, self.address, &path)?;
         for (name, value) in request.headers() {
-            sent.insert_header(name.as_str(), value.to_str()?);
+            outgoing.insert_header(name.as_str(), value.to_str()?);
         }
-        sent.set_body(request.body().to_vec());
-        let answer = client::send(self.address, sent, LIMITS).await.map_err(|f| f.reason)?;
+        outgoing.set_body(request.body().to_vec());
+        let answer =
+            client::send(self.address, outgoing, EXPORT_LIMITS).await.map_err(|f| f.reason)?;
         let (head, body) = answer.read_whole().await.map_err(|failure| failure.reason)?;
         let status = u16::from(head.status());
         Ok(Response::builder().status(status).body(Bytes::from(body))?)
@@ -54,12 +55,12 @@
 pub fn init(address: SocketAddr, daemon: &str) -> Result<SdkTracerProvider, String> {
     let exporter = SpanExporter::builder()
         .with_http()
-        .with_http_client(Collector { address })
+        .with_http_client(Client { address })
         .with_endpoint(format!("http://{address}/v1/traces"))
         .build()
         .map_err(|error| error.to_string())?;
     let resource = Resource::builder_empty()
-        .with_attribute(KeyValue::new("service.name", SCOPE))
+        .with_attribute(KeyValue::new("service.name", SERVICE_NAME))
         .with_attribute(KeyValue::new("service.instance.id", daemon.to_owned()))
         .build();
     let provider =
@@ -89,7 +90,7 @@
     }
 
     fn start(name: &'static str, parent: &Context) -> Self {
-        let span = global::tracer(SCOPE).start_with_context(name, parent);
+        let span = global::tracer(SERVICE_NAME).start_with_context(name, parent);
         Self(parent.with_span(span))
     }
 
