--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check`: everything that is wrong with a manifest.
+//! `check`: validates a manifest and reports all faults.
 
 use serde_json::json;
 
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 use crate::settings::read_file;
 
-/// Checks the file.
+/// Runs the command.
 pub(super) fn run(options: &Check) -> Result<String> {
     let manifest = load(&options.file, options.json)?;
     if options.json {
@@ -23,7 +23,7 @@
     ))
 }
 
-/// Reads a manifest; the error names every fault.
+/// Reads and validates a manifest. The error lists all faults.
 pub(super) fn load(path: &std::path::Path, as_json: bool) -> Result<Manifest> {
     parse(&read_file(path)?).map_err(|faults| {
         let detail = if as_json { faults_as_json(&faults) } else { faults_as_text(&faults) };
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: where a daemon would send a completion, and why.
+//! `explain`: shows the backend servers that a daemon considers for a completion, with their costs.
 
 use http_types::Method;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 use crate::settings::read_file;
 
-/// Asks the daemon.
+/// Runs the command.
 pub(super) fn run(options: &Explain) -> Result<String> {
     let prompt = String::from_utf8_lossy(&read_file(&options.prompt)?).into_owned();
     let question = json!({
@@ -37,6 +37,6 @@
             candidate["free"].to_string(),
         ));
     }
-    lines.push("The first candidate with a free slot is taken; a full one that is cheaper is waited for, for a while.".into());
+    lines.push("The first candidate with a free slot gets the request; the router waits a limited time for a cheaper one that is full.".into());
     Ok(lines.join("\n"))
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! Commands of the operators' client.
 
 mod check;
 mod explain;
@@ -22,7 +22,7 @@
 use crate::http::client::{Limits, send_json};
 use crate::prelude::*;
 
-/// Bounds of an exchange with a daemon.
+/// Limits of a request to a daemon.
 const LIMITS: Limits = Limits {
     connect_timeout: Duration::from_secs(2),
     head_timeout: Duration::from_secs(5),
@@ -30,7 +30,7 @@
     max_body_bytes: 64 << 20,
 };
 
-/// Carries one command out; what it prints is returned.
+/// Runs a command and returns its output.
 pub fn run(options: &Options) -> Result<String> {
     match &options.command {
         Command::Check(command) => check::run(command),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Asks a daemon's operators' address and reads JSON.
+/// Sends a request to a daemon's operators' address and returns the JSON answer.
 fn fetch_json(
     address: SocketAddr,
     method: Method,
@@ -62,7 +62,7 @@
         return Ok(value);
     }
     let message = value["error"]["message"].as_str().unwrap_or("no message");
-    Err(unreachable(format!("it answered {status}: {message}")))
+    Err(unreachable(format!("the daemon answered {status}: {message}")))
 }
 
 fn pretty_json(value: &impl serde::Serialize) -> String {
--- a/src/cli/options.rs
+++ b/src/cli/options.rs
@@ -1,4 +1,4 @@
-//! The client's command line.
+//! The command line of the operators' client.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
     pub command: Command,
 }
 
-/// What the client does.
+/// The client's subcommands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Check a manifest and print everything that is wrong with it.
@@ -52,7 +52,7 @@
     },
 }
 
-/// Files with a schema.
+/// Files that have a JSON Schema.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum Schema {
     /// A daemon's settings.
@@ -61,7 +61,7 @@
     Manifest,
 }
 
-/// `check`.
+/// Arguments of `check`.
 #[derive(Debug, Args)]
 pub struct Check {
     /// The manifest.
@@ -71,7 +71,7 @@
     pub json: bool,
 }
 
-/// `publish`.
+/// Arguments of `publish`.
 #[derive(Debug, Args)]
 pub struct Publish {
     /// The manifest.
@@ -90,7 +90,7 @@
     pub json: bool,
 }
 
-/// `status`.
+/// Arguments of `status`.
 #[derive(Debug, Args)]
 pub struct Status {
     /// The daemon's operators' address.
@@ -101,7 +101,7 @@
     pub json: bool,
 }
 
-/// `explain`.
+/// Arguments of `explain`.
 #[derive(Debug, Args)]
 pub struct Explain {
     /// The daemon's operators' address.
@@ -124,7 +124,7 @@
     pub json: bool,
 }
 
-/// `trace`.
+/// Arguments of `trace`.
 #[derive(Debug, Args)]
 pub struct Trace {
     /// The request's id.
@@ -136,7 +136,7 @@
     pub json: bool,
 }
 
-/// The completions of `shell`.
+/// Returns the completion script for `shell`.
 pub(super) fn completions(shell: Shell) -> String {
     let mut text = Vec::new();
     clap_complete::generate(shell, &mut Options::command(), "cardamomvalve", &mut text);
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -1,4 +1,4 @@
-//! `publish`: compare-and-set on the log, with a lost answer read back.
+//! `publish`: appends a manifest to the log by compare-and-set, and reads the log to learn the result.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -13,10 +13,10 @@
 use crate::manifest::{Body, FORMAT, Record, State, Verdict, difference};
 use crate::prelude::*;
 
-/// Pause between two reads of the log.
+/// Time between two reads of the log.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Publishes the file.
+/// Runs the command.
 pub(super) fn run(options: &Publish) -> Result<String> {
     let manifest = check::load(&options.file, options.json)?;
     let value = serde_json::to_value(&manifest)
@@ -40,20 +40,21 @@
     let record = Record { format: FORMAT, id: publication.id.clone(), body };
     match log::append(address, Stream::Manifest, record.encode()).await {
         Ok(offset) => read_back(options, &mut publication, replaces, Some(offset)).await,
-        Err(AppendResult::Refused) => {
-            Err(Error::new(Code::LogUnreachable, format!("{address}: it took no record")))
-        }
+        Err(AppendResult::Refused) => Err(Error::new(
+            Code::LogUnreachable,
+            format!("{address}: the log service refused the record"),
+        )),
         Err(_) => read_back(options, &mut publication, replaces, None).await,
     }
 }
 
-/// One publisher's view of the log, and what became of its record.
+/// A publication in progress: the state folded from the log, and whether its record was accepted.
 #[derive(Debug)]
 pub(super) struct Publication {
     state: State,
     /// The record's id.
     id: String,
-    /// The generation as which it was accepted, whatever came after it.
+    /// The generation of the record once accepted; later records don't change it.
     accepted: Option<u64>,
 }
 
@@ -62,13 +63,13 @@
         Self { state: State::default(), id, accepted: None }
     }
 
-    /// The generation as which the record was accepted.
+    /// Returns the generation of the record if it was accepted.
     pub(super) fn accepted(&self) -> Option<u64> {
         self.accepted
     }
 
-    /// Folds the record at `offset`. Another publisher may have replaced this one's manifest before it
-    /// is read back, so what is in force at the end does not tell.
+    /// Folds the record at `offset`. Acceptance is noted here because another publisher may replace the
+    /// manifest before it is read back; the manifest in force at the end doesn't show it.
     pub(super) fn fold(&mut self, offset: u64, text: &str) {
         if let Verdict::Accepted(force) = self.state.fold(offset, text)
             && force.published == self.id
@@ -78,7 +79,7 @@
     }
 }
 
-/// The whole manifest, or only what changes where that is shorter.
+/// Returns the patch from the manifest in force if it is shorter, otherwise the whole manifest.
 fn shorter_body(state: &State, replaces: u64, manifest: Value) -> Body {
     let patch = difference(&state.value(), &manifest);
     let patch_suffices = {
@@ -86,7 +87,7 @@
         json_patch::merge(&mut merged, &patch);
         merged == manifest
     };
-    // A patch can't set a field to null; the whole manifest then says so.
+    // A JSON merge patch can't set a field to null; then the whole manifest is needed.
     if patch_suffices
         && state.force().is_some()
         && patch.to_string().len() < manifest.to_string().len()
@@ -96,7 +97,7 @@
     Body::Publish { replaces, manifest }
 }
 
-/// Folds the log until this record's fate is known.
+/// Reads the log until the record is accepted, rejected or the wait is over.
 async fn read_back(
     options: &Publish,
     publication: &mut Publication,
@@ -105,7 +106,7 @@
 ) -> Result<u64> {
     let deadline = Instant::now() + Duration::from_secs(options.wait_s);
     loop {
-        // An unreachable log is asked again: the record may be there.
+        // A failed read is retried: the record may be on the log.
         catch_up(options.log_service, publication).await.ok();
         if let Some(generation) = publication.accepted() {
             return Ok(generation);
@@ -116,7 +117,9 @@
             return Err(publish_lost(state, replaces));
         }
         if Instant::now() >= deadline {
-            let detail = format!("the answer was lost, and record {id} has not shown up");
+            let detail = format!(
+                "the outcome of the append is unknown: record {id} was not found on the log in time"
+            );
             return Err(Error::new(Code::LogUnreachable, detail));
         }
         Timer::after(POLL_INTERVAL).await;
@@ -138,10 +141,11 @@
     }
 }
 
+/// Returns the error that another publisher's manifest is in force.
 fn publish_lost(state: &State, replaces: u64) -> Error {
     let winner = state.force().map_or("none", |force| &force.published);
     let detail = format!(
-        "generation {} is in force, published as {winner}; this one replaces {replaces}",
+        "generation {} is in force, published as {winner}; this manifest replaces {replaces}",
         state.generation()
     );
     Error::new(Code::PublishLost, detail)
--- a/src/cli/schema.rs
+++ b/src/cli/schema.rs
@@ -1,4 +1,4 @@
-//! `schema`: JSON Schema made from the types.
+//! `schema`: prints the JSON Schema of a file, generated from the types.
 
 use schemars::schema_for;
 
@@ -6,7 +6,7 @@
 use crate::manifest::Manifest;
 use crate::settings::Settings;
 
-/// The schema of a file.
+/// Returns the schema of a file.
 pub(super) fn run(of: Schema) -> String {
     match of {
         Schema::Settings => pretty_json(&schema_for!(Settings)),
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `status`: a daemon's state.
+//! `status`: shows a daemon's state.
 
 use http_types::Method;
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use super::{fetch_json, pretty_json};
 use crate::prelude::*;
 
-/// Shows the state.
+/// Runs the command.
 pub(super) fn run(options: &Status) -> Result<String> {
     let status = fetch_json(options.daemon, Method::Get, "/status", None)?;
     Ok(if options.json { pretty_json(&status) } else { table(&status) })
--- a/src/cli/tables.rs
+++ b/src/cli/tables.rs
@@ -1,11 +1,11 @@
-//! `codes` and `events`: the tables that `docs/CODES.md` and `docs/EVENTS.md` hold.
+//! `codes` and `events`: print the tables in `docs/CODES.md` and `docs/EVENTS.md`.
 
 use serde_json::{Value, json};
 
 use super::pretty_json;
 use crate::prelude::*;
 
-/// The table of result codes, as Markdown or JSON.
+/// Returns the table of result codes, as Markdown or JSON.
 pub(super) fn codes(as_json: bool) -> String {
     if as_json {
         let rows: Vec<Value> = Code::ALL.iter().map(|code| code_row(*code)).collect();
@@ -44,7 +44,7 @@
     })
 }
 
-/// The catalogue of log events, as Markdown or JSON.
+/// Returns the catalogue of log events, as Markdown or JSON.
 pub(super) fn events(as_json: bool) -> String {
     if as_json {
         let rows: Vec<Value> = Event::ALL
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! The pages that tables are printed to, against the code; histories of requests.
+//! Tests of the generated pages, `trace` and `publish`.
 
 use std::io::Write;
 
@@ -7,13 +7,13 @@
 use crate::manifest::{Body, FORMAT, Record};
 use crate::prelude::*;
 
-/// The rows of a page's table must be those of the code.
+/// Asserts that a page has exactly the rows of `table`.
 fn assert_page_matches(page: &str, table: &str) {
     for line in table.lines() {
-        assert!(page.contains(line), "the page lacks: {line}");
+        assert!(page.contains(line), "the page lacks this line: {line}");
     }
     let rows = |text: &str| text.lines().filter(|line| line.starts_with("| ")).count();
-    assert_eq!(rows(page), rows(table), "the page has rows that the code has not");
+    assert_eq!(rows(page), rows(table), "the page and the code differ in their number of rows");
 }
 
 #[test]
@@ -26,15 +26,15 @@
     assert_page_matches(include_str!("../../docs/EVENTS.md"), &tables::events(false));
 }
 
-/// Prints the history of request `r-1` from files with these lines.
+/// Runs `trace` for request `r-1` on files with these lines.
 fn trace(files: &[&[&str]], json: bool) -> Result<String> {
     static NEXT_FILE: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let paths = files.iter().map(|lines| {
         let number = NEXT_FILE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let name = format!("cardamomvalve-trace-{}-{number}.log", std::process::id());
         let path = std::env::temp_dir().join(name);
-        let mut file = std::fs::File::create(&path).expect("it can be made");
-        file.write_all(lines.join("\n").as_bytes()).expect("it can be written");
+        let mut file = std::fs::File::create(&path).expect("the temporary directory is writable");
+        file.write_all(lines.join("\n").as_bytes()).expect("the temporary file is writable");
         path
     });
     let files: Vec<std::path::PathBuf> = paths.collect();
@@ -65,7 +65,7 @@
 fn trace_orders_lines_of_all_daemons_and_adds_related_events() {
     let text =
         trace(&[&[ENDED, "no log line", SENT, OTHER_REQUEST], &[REMOVED, OTHER_SERVER]], false);
-    let text = text.expect("it has lines");
+    let text = text.expect("the request has log lines");
     assert_eq!(event_names(&text), ["AttemptSent", "ServerRemoved", "RequestEnded"], "{text}");
     assert!(text.contains("~    +300 ms  b"), "{text}");
     assert!(text.starts_with("request r-1: 2 lines of a, from 2026-12-02T10:00:01.500Z"), "{text}");
@@ -75,15 +75,15 @@
 fn trace_clock_jump_keeps_order() {
     let jumped = ENDED.replace("10:00:02.000Z", "11:06:42.000Z");
     let lines = [SENT, OTHER_REQUEST, OTHER_REQUEST, jumped.as_str()];
-    let text = trace(&[&lines, &[REMOVED]], false).expect("it has lines");
+    let text = trace(&[&lines, &[REMOVED]], false).expect("the request has log lines");
     assert_eq!(event_names(&text), ["AttemptSent", "ServerRemoved", "RequestEnded"], "{text}");
     assert!(text.contains("    +500 ms  a"), "{text}");
 }
 
 #[test]
 fn trace_as_json_keeps_every_field() {
-    let text = trace(&[&[SENT, ENDED]], true).expect("it has lines");
-    let lines: Vec<serde_json::Value> = serde_json::from_str(&text).expect("it is JSON");
+    let text = trace(&[&[SENT, ENDED]], true).expect("the request has log lines");
+    let lines: Vec<serde_json::Value> = serde_json::from_str(&text).expect("the output is JSON");
     assert_eq!(lines[0]["server"], "s-1");
     assert_eq!(lines[1]["outcome"], "cut");
     assert_eq!(lines.len(), 2);
@@ -91,12 +91,12 @@
 
 #[test]
 fn trace_unknown_request_is_an_error() {
-    let error =
-        trace(&[&[OTHER_REQUEST, "{}", "{\"time\":1}"]], false).expect_err("nothing is known");
+    let error = trace(&[&[OTHER_REQUEST, "{}", "{\"time\":1}"]], false)
+        .expect_err("no line names the request");
     assert_eq!(error.code, Code::RequestUnknown);
 }
 
-/// A manifest record of this id that replaces a generation.
+/// Encodes a manifest record with this id that replaces generation `replaces`.
 fn record(id: &str, replaces: u64) -> String {
     let manifest = serde_json::json!({
         "format": 1,
@@ -115,7 +115,7 @@
 
 #[test]
 fn publish_replaced_before_it_is_read_back_is_accepted() {
-    // The publisher reads its own record and its successor's in one go.
+    // The publisher reads its own record and its successor in one read.
     let log = [record("first", 0), record("second", 1), record("late", 1)];
     let accepted = |id: &str| {
         let mut publication = Publication::new(id.into());
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,7 +1,7 @@
-//! `trace`: one request's history, put together from the log lines of any number of daemons.
+//! `trace`: shows the history of a request, merged from the log lines of several daemons.
 //!
-//! Lines of one run of a daemon are ordered by its uptime, which a jump of the time of day does not
-//! disturb; runs are laid beside each other by the median of their difference to the time of day.
+//! Lines of one run of a daemon are ordered by its uptime, which steps of the wall clock don't affect. Runs
+//! are aligned by the median difference between their wall clock and their uptime.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -13,24 +13,24 @@
 use super::pretty_json;
 use crate::prelude::*;
 
-/// Time before and after a request's own lines from which lines on its servers and daemons are shown:
-/// a belief that decided something was often formed shortly before.
+/// Time before and after a request's own lines for which lines on its servers and daemons are shown. The
+/// state behind a decision has often changed shortly before it.
 const CONTEXT_MS: i64 = 2_000;
-/// Fields that are shown in front, and not among the others.
+/// Fields that a row doesn't list among its values.
 const LEADING_FIELDS: [&str; 8] =
     ["time", "level", "uptime_ms", "daemon", "event", "name", "request", "line_at_ms"];
-/// The highest number of events that concern a daemon and what it depends on.
+/// The highest number of the events on a daemon and its dependencies.
 const MAX_DAEMON_EVENT: u64 = 299;
 
-/// One log line, with the time by which it is ordered.
+/// A log line and the time that orders it.
 #[derive(Debug, Clone)]
 struct Line {
     fields: Map<String, Value>,
     daemon: String,
     uptime_ms: i64,
-    /// Milliseconds since the epoch by the time of day, as the line says.
+    /// Wall-clock time in the line, in milliseconds since the epoch.
     wall_clock_ms: i64,
-    /// The same by the daemon's uptime.
+    /// The same time derived from the daemon's uptime.
     at_ms: i64,
 }
 
@@ -48,7 +48,7 @@
         self.fields.get(name)?.as_str()
     }
 
-    /// Whether it is on this request, or on requests that ask for the same where `id` is a fingerprint.
+    /// Returns whether the line is on request `id`, or on requests with the fingerprint `id`.
     fn concerns(&self, id: &str) -> bool {
         self.text("request") == Some(id) || self.has_fingerprint(id)
     }
@@ -58,14 +58,14 @@
         self.text("fingerprint") == Some(fingerprint) || fingerprints.any(|one| one == fingerprint)
     }
 
-    /// Whether it tells of the daemon itself or of what it depends on, rather than of one request.
+    /// Returns whether the line is on the daemon itself or on its dependencies.
     fn is_daemon_event(&self) -> bool {
         let event = self.fields.get("event").and_then(Value::as_u64);
         event.is_some_and(|event| event <= MAX_DAEMON_EVENT)
     }
 }
 
-/// Prints the history.
+/// Runs the command.
 pub(super) fn run(options: &Trace) -> Result<String> {
     let lines = read_all(options)?;
     let history = history(lines, &options.request);
@@ -95,13 +95,13 @@
     read_lines(BufReader::new(std::fs::File::open(path)?), lines)
 }
 
-/// Takes the lines of one file, whatever else stands between them, and sets their times.
+/// Reads the log lines of one file, skipping other content, and sets their times.
 fn read_lines(mut reader: impl BufRead, lines: &mut Vec<Line>) -> std::io::Result<()> {
     let mut runs: BTreeMap<String, Vec<Line>> = BTreeMap::new();
     let mut bytes = Vec::new();
     while reader.read_until(b'\n', &mut bytes)? > 0 {
         let text = String::from_utf8_lossy(&bytes);
-        // A collector may have put something before the object.
+        // A log collector may have added a prefix to the object.
         if let Some(line) = text.find('{').and_then(|start| Line::parse(&text[start..])) {
             let run = runs.entry(line.daemon.clone()).or_default();
             if run.last().is_some_and(|last| line.uptime_ms < last.uptime_ms) {
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-/// Sets the times of one run's lines.
+/// Sets the times of the lines of one run.
 fn align_times(mut run: Vec<Line>) -> Vec<Line> {
     let mut starts: Vec<i64> = run.iter().map(|line| line.wall_clock_ms - line.uptime_ms).collect();
     starts.sort_unstable();
@@ -126,8 +126,8 @@
     run
 }
 
-/// The lines on `request`, those on what it asks for without naming a request (that servers ended under it, that it
-/// is blocked), and those around them that tell of its servers and daemons, in order.
+/// Returns, ordered by time, the lines on `request`, those that name only its fingerprint (such as
+/// crashes and blocks), and those on its servers and daemons at about the same time.
 fn history(lines: Vec<Line>, request: &str) -> Vec<Line> {
     let own: Vec<&Line> = lines.iter().filter(|line| line.concerns(request)).collect();
     let first = own.iter().map(|line| line.at_ms).min();
@@ -174,7 +174,7 @@
     let first = own.first().map_or(0, |line| line.at_ms);
     let began = own.first().and_then(|line| line.text("time")).unwrap_or_default();
     let mut text = vec![format!(
-        "request {request}: {} lines of {}, from {began}; ~ marks what happened beside it",
+        "request {request}: {} lines of {}, from {began}; ~ marks related events",
         own.len(),
         daemons.into_iter().collect::<Vec<_>>().join(", ")
     )];
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,23 +1,23 @@
-//! Numbered result codes, and the error type that carries one.
+//! Numbered result codes and the error type that carries them.
 //!
-//! Codes are part of the product's interface: callers see them in `error.code`, operators look
-//! them up in `docs/CODES.md` or with `cardamomvalve codes`.
+//! Codes are part of the public interface. Callers see them in `error.code`; operators look them up in
+//! `docs/CODES.md` or with `cardamomvalve codes`.
 
 use std::fmt;
 
-/// Whether the work that a request asked for was carried out.
+/// The execution status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Execution {
-    /// No backend server was given the request.
+    /// No backend server has run the request.
     NotRun,
-    /// A backend server may have run it; the outcome was not learnt.
+    /// A backend server may have run the request; its outcome is unknown.
     Unknown,
-    /// A backend server ran it and its answer is known.
+    /// A backend server ran the request and its answer is known.
     Done,
 }
 
 impl Execution {
-    /// The value of the execution header.
+    /// Returns the value of the execution header.
     ///
     /// ```
     /// use cardamomvalve::error::Execution;
@@ -32,22 +32,22 @@
     }
 }
 
-/// Everything the tables say about one code.
+/// The properties of a code, as the table of codes lists them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Row {
-    /// The number that callers and operators see.
+    /// The number that answers and tables show.
     pub number: u16,
-    /// A stable name, also the `type` of an error body.
+    /// The stable name, which is also the `type` in an error body.
     pub name: &'static str,
-    /// HTTP status; 0 for codes that only programs return.
+    /// HTTP status; 0 for codes that only programs exit with.
     pub status: u16,
-    /// Whether the work ran.
+    /// The execution status that the code implies.
     pub execution: Execution,
-    /// Seconds after which asking again helps; 0 when it does not.
+    /// Time after which a retry may succeed, in seconds; 0 if retrying doesn't help.
     pub retry_after_s: u32,
-    /// Exit code of a program that ends with this code; 0 for codes of HTTP answers.
+    /// Exit code of a program that fails with this code; 0 for codes of HTTP answers.
     pub exit_code: u8,
-    /// What happened and what to do, as a full sentence.
+    /// The cause and the remedy, as a full sentence.
     pub text: &'static str,
 }
 
@@ -58,10 +58,10 @@
         pub enum Code { $(#[doc = $text] $name,)* }
 
         impl Code {
-            /// Every code, in ascending order of number.
+            /// All codes, in ascending order of number.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// The row of this code in the table.
+            /// Returns the properties of this code.
             ///
             /// ```
             /// use cardamomvalve::error::Code;
@@ -142,17 +142,17 @@
     }
 }
 
-/// An error with its code and what was seen.
+/// An error with its code and details.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The numbered code.
+    /// The result code.
     pub code: Code,
-    /// What was seen, as a sentence or its start; may be empty.
+    /// Details of this occurrence, such as the rejected value; may be empty.
     pub detail: String,
 }
 
 impl Error {
-    /// Makes an error from a code and what was seen.
+    /// Creates an error from a code and details.
     ///
     /// ```
     /// use cardamomvalve::error::{Code, Error};
@@ -163,7 +163,7 @@
         Self { code, detail: detail.into() }
     }
 
-    /// The text for a caller: the code's sentence and what was seen.
+    /// Returns the text for callers: the sentence of the code, and the details in parentheses.
     pub fn message(&self) -> String {
         let text = self.code.row().text;
         if self.detail.is_empty() { text.to_owned() } else { format!("{text} ({})", self.detail) }
@@ -184,5 +184,5 @@
 
 impl std::error::Error for Error {}
 
-/// The result of an operation that may end with a numbered code.
+/// The result of an operation whose errors carry a result code.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/src/telemetry/budget.rs
+++ b/src/telemetry/budget.rs
@@ -1,22 +1,22 @@
-//! How many log lines may be written: a flood of one kind must neither fill the log nor hide another
-//! kind, and lines that are left out are counted.
+//! Rate limits for log lines. A flood of one event must neither fill the log nor crowd out other events;
+//! dropped lines are counted.
 
 use crate::allowance::Allowance;
 use crate::prelude::*;
 
-/// Bounds on the lines of one process.
+/// Rate limits for the log lines of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rate {
-    /// Lines a second of each event.
+    /// Maximum rate of lines per event.
     pub lines_per_s: u32,
-    /// Bytes a second of all lines that are not warnings.
+    /// Maximum rate of bytes over all lines. Warnings and errors are admitted even beyond it.
     pub bytes_per_s: u32,
 }
 
-/// Seconds of an allowance that may be saved up for a burst.
+/// Maximum size of a burst, in seconds at the maximum rate.
 const BURST_S: f64 = 2.0;
 
-/// What may still be written, and what was left out.
+/// The remaining allowances for log lines, and the counts of dropped lines.
 #[derive(Debug)]
 pub struct Budget {
     rate: Rate,
@@ -25,11 +25,11 @@
     dropped: BTreeMap<&'static str, u64>,
 }
 
-/// The name under which lines are counted that found the queue to the writing thread full.
+/// Key in the counts for lines that were admitted but found the queue to the writer thread full.
 const UNWRITTEN_KEY: &str = "unwritten";
 
 impl Budget {
-    /// A budget that is full at `now`.
+    /// Creates a budget whose allowances are full at `now`.
     pub fn new(now: Time, rate: Rate) -> Self {
         Self {
             rate,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether a line of `event` may be written; one that may not is counted.
+    /// Returns whether a line of `event` may be written, and counts it as dropped if not.
     pub fn admit(&mut self, now: Time, event: Event) -> bool {
         let rate = f64::from(self.rate.lines_per_s);
         let lines = self.lines.entry(event).or_insert_with(|| Allowance::full(now, rate * BURST_S));
@@ -54,17 +54,17 @@
         true
     }
 
-    /// Notes the size of a line that was written.
+    /// Charges the size of a written line to the byte allowance.
     pub fn record_written(&mut self, bytes: usize) {
         self.bytes.take(bytes as f64);
     }
 
-    /// Counts a line that was admitted and could not be written.
+    /// Counts a line that was admitted but could not be queued for writing.
     pub fn count_unwritten(&mut self) {
         *self.dropped.entry(UNWRITTEN_KEY).or_default() += 1;
     }
 
-    /// What was left out since the last call, by the event's name.
+    /// Returns the number of dropped lines by event name since the last call.
     pub fn take_dropped(&mut self) -> BTreeMap<&'static str, u64> {
         std::mem::take(&mut self.dropped)
     }
--- a/src/telemetry/detail.rs
+++ b/src/telemetry/detail.rs
@@ -1,4 +1,4 @@
-//! What a log line says beyond its event: named inputs and outcomes.
+//! Named values of a log line, such as the inputs and outcome of a decision.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 /// One value on a log line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// A text.
+    /// Text.
     Text(String),
-    /// A whole number.
+    /// An unsigned integer.
     Integer(u64),
-    /// A number.
+    /// A floating-point number.
     Float(f64),
-    /// Yes or no.
+    /// A boolean.
     Bool(bool),
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl From<Duration> for Value {
-    /// Whole milliseconds.
+    /// Converts to whole milliseconds.
     fn from(time: Duration) -> Self {
         Self::Integer(u64::try_from(time.as_millis()).unwrap_or(u64::MAX))
     }
@@ -97,17 +97,17 @@
     }
 }
 
-/// Named values in the order in which they were given.
+/// Named values of a log line, in insertion order.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Detail(Vec<(&'static str, Value)>);
 
 impl Detail {
-    /// Nothing beyond the event.
+    /// Creates a detail without values.
     pub fn none() -> Self {
         Self::default()
     }
 
-    /// One value.
+    /// Creates a detail with one value.
     ///
     /// ```
     /// use cardamomvalve::telemetry::Detail;
@@ -118,14 +118,14 @@
         Self::none().and(name, value)
     }
 
-    /// One more value.
+    /// Adds a value.
     #[must_use]
     pub fn and(mut self, name: &'static str, value: impl Into<Value>) -> Self {
         self.0.push((name, value.into()));
         self
     }
 
-    /// One more value, where there is one.
+    /// Adds a value if it is `Some`.
     #[must_use]
     pub fn and_some(self, name: &'static str, value: Option<impl Into<Value>>) -> Self {
         match value {
--- a/src/telemetry/event.rs
+++ b/src/telemetry/event.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events: one number, level and meaning each.
+//! The catalogue of log events. Each has a number, a level and a meaning.
 
 use log::Level;
 
@@ -9,10 +9,10 @@
         pub enum Event { $(#[doc = $text] $name,)* }
 
         impl Event {
-            /// Every event, in ascending order of number.
+            /// All events, in ascending order of number.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// The number that log lines carry.
+            /// The number in the `event` field of log lines.
             ///
             /// ```
             /// use cardamomvalve::telemetry::Event;
@@ -22,17 +22,17 @@
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Its name.
+            /// The name in the `name` field of log lines.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name),)* }
             }
 
-            /// The level that it is logged at.
+            /// The level of its log lines.
             pub const fn level(self) -> Level {
                 match self { $(Self::$name => Level::$level,)* }
             }
 
-            /// What it means.
+            /// The sentence that explains the event.
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard output, as text or JSON: bounded in number and size, and written by a thread
-//! of their own, so that a reader that stalls costs the traffic nothing.
+//! Log lines on standard output, as text or JSON. Their rate is limited, and a separate thread writes
+//! them, hence a stalled reader of the output doesn't delay requests.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -21,21 +21,21 @@
 use crate::prelude::*;
 use crate::settings::{LogFormat, LogLevel, Telemetry};
 
-/// What log lines of this project are filtered by.
+/// Target of all log lines of this project; the level filter selects it.
 const TARGET: &str = "cardamomvalve";
-/// Lines that wait to be written; more are left out.
+/// Capacity of the queue to the writer thread; lines beyond it are dropped.
 const MAX_QUEUED_LINES: usize = 2_048;
-/// Time in which lines are gathered into one write: a write a line would wake a thread for each.
+/// Time for which the writer collects lines into one write. A write per line would wake it for each.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
-/// Time between two lines that say what was left out.
+/// Minimum time between two log lines that report dropped lines.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time that the end of a process waits for its last lines to be written.
+/// Maximum time that a flush waits for queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The lines of this process.
+/// The logger of this process.
 static LOGGER: OnceLock<Logger> = OnceLock::new();
 
-/// What the lines of a process share.
+/// The state that all log calls of a process share.
 #[derive(Debug)]
 struct Logger {
     daemon: String,
@@ -44,12 +44,12 @@
     queue: SyncSender<Message>,
 }
 
-/// What the writing thread is sent.
+/// A message to the writer thread.
 #[derive(Debug)]
 enum Message {
-    /// A line, with its end.
+    /// A line, with its line break.
     Line(Vec<u8>),
-    /// Answer once all before this is written.
+    /// Requests a reply once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Sets the process's logger up, for the daemon of this id; a second call changes nothing.
+/// Sets up the logger of this process. Lines carry the id `daemon`. Later calls have no effect.
 pub fn init(settings: &Telemetry, daemon: &str) {
     let level = match settings.log_level {
         LogLevel::Error => "error",
@@ -88,7 +88,7 @@
         .ok();
 }
 
-/// Writes one log line for `event`, unless too many were written.
+/// Logs one line for `event`, unless its level is disabled or a rate limit is reached.
 pub fn emit(event: Event, detail: Detail) {
     if !log::log_enabled!(target: TARGET, event.level()) {
         return;
@@ -103,7 +103,7 @@
     log::logger().log(&record.args(format_args!("{}", event.text())).build());
 }
 
-/// Waits for a bounded time until what was logged is written.
+/// Waits until all queued lines are written, or until the flush timeout.
 pub fn flush() {
     let Some(logger) = LOGGER.get() else { return };
     let (done, written) = sync_channel(1);
@@ -112,7 +112,7 @@
     }
 }
 
-/// The values of one line.
+/// The fields of one log line.
 struct Line<'a> {
     event: Event,
     detail: &'a Detail,
@@ -134,10 +134,11 @@
     }
 }
 
-/// One JSON object a line, its fields side by side.
+/// Formats each record as one flat JSON object per line.
 #[derive(Debug)]
 struct JsonLayout;
 
+/// Inserts key-value pairs of a record into a JSON object.
 struct Collector<'a>(&'a mut Map<String, Json>);
 
 impl Visitor for Collector<'_> {
@@ -169,7 +170,7 @@
     }
 }
 
-/// Hands lines to the writing thread.
+/// Formats records and queues them for the writer thread.
 #[derive(Debug)]
 struct Appender {
     layout: Box<dyn Layout>,
@@ -198,7 +199,7 @@
     }
 }
 
-/// Writes what comes, many lines at a time, and says now and then what was left out.
+/// Writes queued lines in batches and reports dropped lines periodically.
 fn run_writer(messages: &Receiver<Message>) {
     let mut reported_at = Time::ZERO;
     loop {
@@ -220,7 +221,7 @@
             }
         }
         let mut output = std::io::stdout().lock();
-        // Where standard output can't be written to there is nobody left to tell.
+        // An error is ignored: standard output is the only place to report it.
         output.write_all(&bytes).and_then(|()| output.flush()).ok();
         drop(output);
         for done in flushes {
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics through OpenTelemetry, shown as Prometheus text.
+//! Metrics recorded with OpenTelemetry and exported as Prometheus text.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -12,24 +12,24 @@
 /// Upper bounds of the time-to-first-token buckets, in seconds.
 const TTFT_BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.37, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
 
-/// One value of a daemon's state.
+/// One value of the daemon's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Gauge {
-    /// What it is.
+    /// Value of the label `name`.
     pub name: &'static str,
-    /// What it belongs to: the label's name and value.
+    /// Name and value of one more label, such as the pool or server.
     pub label: Option<(&'static str, String)>,
-    /// The value.
+    /// The current value.
     pub value: u64,
 }
 
 impl Gauge {
-    /// A value of the daemon as a whole.
+    /// Creates a gauge of the whole daemon.
     pub fn new(name: &'static str, value: u64) -> Self {
         Self { name, label: None, value }
     }
 
-    /// A value of one pool, server, peer or the like.
+    /// Creates a gauge of one pool, server, peer or similar.
     ///
     /// ```
     /// use cardamomvalve::telemetry::metrics::Gauge;
@@ -59,12 +59,12 @@
     _provider: SdkMeterProvider,
     answers: Counter<u64>,
     first_token: Histogram<f64>,
-    /// What is shown next of the daemon's state.
+    /// Values of the daemon's state for the next export.
     gauges: Arc<Mutex<Vec<Gauge>>>,
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments and their registry.
     pub fn new() -> Result<Self, String> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -85,7 +85,7 @@
             .build();
         let gauges: Arc<Mutex<Vec<Gauge>>> = Arc::default();
         let observed = Arc::clone(&gauges);
-        // Observed anew each time, so that what has gone is no longer shown.
+        // Observing the values at each export drops those of removed servers, pools and peers.
         meter
             .u64_observable_gauge("cardamomvalve_state")
             .with_description("The daemon's state, by name")
@@ -98,7 +98,7 @@
         Ok(Self { registry, _provider: provider, answers, first_token, gauges })
     }
 
-    /// Counts an answer; `code` is 0 where it is the backend server's own.
+    /// Counts an answer. `code` is 0 for an answer of the backend server itself.
     pub fn count_answer(&self, workspace: &str, target: &str, code: u16) {
         self.answers.add(
             1,
@@ -110,7 +110,7 @@
         );
     }
 
-    /// Notes the time from a request's arrival to its first token, by its model or route.
+    /// Records the time from a request's arrival to its first token; `target` is its model or route.
     pub fn record_first_token(&self, target: &str, priority: impl Into<String>, time: Duration) {
         let labels = [
             KeyValue::new("target", target.to_owned()),
@@ -119,7 +119,7 @@
         self.first_token.record(time.as_secs_f64(), &labels);
     }
 
-    /// The metrics as Prometheus text, with these values of the daemon's state.
+    /// Returns the metrics as Prometheus text, with `gauges` as the daemon's state.
     pub fn render(&self, gauges: Vec<Gauge>) -> String {
         *self.gauges.lock().unwrap_or_else(PoisonError::into_inner) = gauges;
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Logs with numbered events, metrics, and traces with a span for each hop.
+//! Logs with numbered events, metrics, and traces with a span per hop.
 
 mod budget;
 mod detail;
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -1,4 +1,4 @@
-//! The budget of log lines.
+//! Tests of the rate limits for log lines.
 
 use super::*;
 use crate::prelude::*;
@@ -9,7 +9,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// How many of `count` lines at `now` are admitted.
+/// Returns how many of `count` lines at `now` are admitted.
 fn count_admitted(budget: &mut Budget, now: Time, event: Event, count: u32) -> u32 {
     (0..count).map(|_| u32::from(budget.admit(now, event))).sum()
 }
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop of a request, sent as OTLP over HTTP.
+//! Traces with a span per hop of a request, exported as OTLP over HTTP.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,9 @@
 use crate::http::{client, header};
 use crate::prelude::*;
 
+/// Name of the service and of its instrumentation scope.
 const SERVICE_NAME: &str = "cardamomvalve";
+/// Limits of an export request.
 const EXPORT_LIMITS: client::Limits = client::Limits {
     connect_timeout: Duration::from_millis(500),
     head_timeout: Duration::from_secs(2),
@@ -27,7 +29,7 @@
     max_body_bytes: 1 << 20,
 };
 
-/// Sends exported spans to a collector.
+/// The HTTP client that sends exported spans to the collector.
 #[derive(Debug)]
 struct Client {
     address: SocketAddr,
@@ -50,8 +52,8 @@
     }
 }
 
-/// Sends spans to the collector at `address` from a thread of its own; a collector that is down
-/// costs the traffic nothing.
+/// Sets up the export of spans to the collector at `address`. A separate thread sends them, hence an
+/// unreachable collector doesn't delay requests.
 pub fn init(address: SocketAddr, daemon: &str) -> Result<SdkTracerProvider, String> {
     let exporter = SpanExporter::builder()
         .with_http()
@@ -69,12 +71,12 @@
     Ok(provider)
 }
 
-/// One hop of a request; its span ends when it is dropped.
+/// The span of one hop of a request. It ends when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct Hop(Context);
 
 impl Hop {
-    /// The first hop; its parent is the caller's span, if `traceparent` names one.
+    /// Starts the first hop in this daemon. Its parent is the caller's span if `traceparent` names one.
     pub fn root(name: &'static str, traceparent: Option<&str>) -> Self {
         let mut carrier = std::collections::HashMap::new();
         if let Some(value) = traceparent {
@@ -84,7 +86,7 @@
         Self::start(name, &parent)
     }
 
-    /// A hop within this one.
+    /// Starts a hop whose parent is this one.
     pub fn child(&self, name: &'static str) -> Self {
         Self::start(name, &self.0)
     }
@@ -94,7 +96,7 @@
         Self(parent.with_span(span))
     }
 
-    /// A hop for where control sent an attempt.
+    /// Records a child span with the placement of an attempt.
     pub fn record_placement(&self, dispatch: &Dispatch) {
         let hop = self.child("placement");
         hop.set_attribute("server", dispatch.id.clone());
@@ -103,12 +105,12 @@
         hop.set_attribute("import_blocks", dispatch.import.as_ref().map_or(0, |i| i.blocks as i64));
     }
 
-    /// Notes an attribute.
+    /// Sets an attribute of the span.
     pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         self.0.span().set_attribute(KeyValue::new(key, value.into()));
     }
 
-    /// The header that passes this span on; `None` where nothing is traced.
+    /// Returns the `traceparent` header for requests of this hop; `None` if there is no trace.
     pub fn traceparent(&self) -> Option<String> {
         let mut carrier = std::collections::HashMap::new();
         TraceContextPropagator::new().inject_context(&self.0, &mut carrier);
