--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -11,13 +11,13 @@
 /// Runs the command.
 pub(super) fn run(options: &Explain) -> Result<String> {
     let prompt = String::from_utf8_lossy(&read_file(&options.prompt)?).into_owned();
-    let question = json!({
+    let query = json!({
         "workspace": options.workspace,
         "model": options.model,
         "prompt": prompt,
         "levels": options.levels,
     });
-    let answer = fetch_json(options.daemon, Method::Post, "/explain", Some(question.to_string()))?;
+    let answer = fetch_json(options.daemon, Method::Post, "/explain", Some(query.to_string()))?;
     if options.json {
         return Ok(pretty_json(&answer));
     }
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -71,10 +71,10 @@
     /// Folds the record at `offset`. Acceptance is noted here because another publisher may replace the
     /// manifest before it is read back; the manifest in force at the end doesn't show it.
     pub(super) fn fold(&mut self, offset: u64, text: &str) {
-        if let Verdict::Accepted(force) = self.state.fold(offset, text)
-            && force.published == self.id
+        if let Verdict::Accepted(in_force) = self.state.fold(offset, text)
+            && in_force.published == self.id
         {
-            self.accepted = Some(force.generation);
+            self.accepted = Some(in_force.generation);
         }
     }
 }
@@ -143,7 +143,7 @@
 
 /// Returns the error that another publisher's manifest is in force.
 fn publish_lost(state: &State, replaces: u64) -> Error {
-    let winner = state.force().map_or("none", |force| &force.published);
+    let winner = state.force().map_or("none", |in_force| &in_force.published);
     let detail = format!(
         "generation {} is in force, published as {winner}; this manifest replaces {replaces}",
         state.generation()
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -17,7 +17,7 @@
 /// state behind a decision has often changed shortly before it.
 const CONTEXT_MS: i64 = 2_000;
 /// Fields that a row doesn't list among its values.
-const LEADING_FIELDS: [&str; 8] =
+const UNLISTED_FIELDS: [&str; 8] =
     ["time", "level", "uptime_ms", "daemon", "event", "name", "request", "line_at_ms"];
 /// The highest number of the events on a daemon and its dependencies.
 const MAX_DAEMON_EVENT: u64 = 299;
@@ -55,7 +55,8 @@
 
     fn has_fingerprint(&self, fingerprint: &str) -> bool {
         let mut fingerprints = self.text("fingerprints").unwrap_or_default().split(' ');
-        self.text("fingerprint") == Some(fingerprint) || fingerprints.any(|one| one == fingerprint)
+        self.text("fingerprint") == Some(fingerprint)
+            || fingerprints.any(|listed| listed == fingerprint)
     }
 
     /// Returns whether the line is on the daemon itself or on its dependencies.
@@ -130,8 +131,9 @@
 /// crashes and blocks), and those on its servers and daemons at about the same time.
 fn history(lines: Vec<Line>, request: &str) -> Vec<Line> {
     let own: Vec<&Line> = lines.iter().filter(|line| line.concerns(request)).collect();
-    let first = own.iter().map(|line| line.at_ms).min();
-    let (Some(first), Some(last)) = (first, own.iter().map(|line| line.at_ms).max()) else {
+    let first_ms = own.iter().map(|line| line.at_ms).min();
+    let (Some(first_ms), Some(last_ms)) = (first_ms, own.iter().map(|line| line.at_ms).max())
+    else {
         return Vec::new();
     };
     let servers: BTreeSet<String> =
@@ -139,7 +141,7 @@
     let daemons: BTreeSet<String> = own.iter().map(|line| line.daemon.clone()).collect();
     let fingerprints: BTreeSet<String> =
         own.iter().filter_map(|line| line.text("fingerprint")).map(str::to_owned).collect();
-    let context = first - CONTEXT_MS..=last + CONTEXT_MS;
+    let context = first_ms - CONTEXT_MS..=last_ms + CONTEXT_MS;
     let mut history: Vec<Line> = lines
         .into_iter()
         .filter(|line| match line.text("request") {
@@ -171,20 +173,20 @@
 fn as_text(history: &[Line], request: &str) -> String {
     let own: Vec<&Line> = history.iter().filter(|line| line.concerns(request)).collect();
     let daemons: BTreeSet<&str> = own.iter().map(|line| line.daemon.as_str()).collect();
-    let first = own.first().map_or(0, |line| line.at_ms);
-    let began = own.first().and_then(|line| line.text("time")).unwrap_or_default();
+    let first_ms = own.first().map_or(0, |line| line.at_ms);
+    let start_time = own.first().and_then(|line| line.text("time")).unwrap_or_default();
     let mut text = vec![format!(
-        "request {request}: {} lines of {}, from {began}; ~ marks related events",
+        "request {request}: {} lines of {}, from {start_time}; ~ marks related events",
         own.len(),
         daemons.into_iter().collect::<Vec<_>>().join(", ")
     )];
-    text.extend(history.iter().map(|line| as_row(line, line.at_ms - first, request)));
+    text.extend(history.iter().map(|line| as_row(line, line.at_ms - first_ms, request)));
     text.join("\n")
 }
 
 fn as_row(line: &Line, after_ms: i64, request: &str) -> String {
     let mark = if line.concerns(request) { ' ' } else { '~' };
-    let values = line.fields.iter().filter(|(name, _)| !LEADING_FIELDS.contains(&name.as_str()));
+    let values = line.fields.iter().filter(|(name, _)| !UNLISTED_FIELDS.contains(&name.as_str()));
     let values: Vec<String> = values
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -44,8 +44,9 @@
             outgoing.insert_header(name.as_str(), value.to_str()?);
         }
         outgoing.set_body(request.body().to_vec());
-        let answer =
-            client::send(self.address, outgoing, EXPORT_LIMITS).await.map_err(|f| f.reason)?;
+        let answer = client::send(self.address, outgoing, EXPORT_LIMITS)
+            .await
+            .map_err(|failure| failure.reason)?;
         let (head, body) = answer.read_whole().await.map_err(|failure| failure.reason)?;
         let status = u16::from(head.status());
         Ok(Response::builder().status(status).body(Bytes::from(body))?)
