--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -29,7 +29,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Minimum time between two log lines that report dropped lines.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum time that a flush waits for queued lines to be written.
+/// Maximum time that a flush, as at the end of a process, waits for queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The logger of this process.
