--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -65,7 +65,7 @@
 }
 
 fn invalid_header(name: &str, allowed: &str) -> Error {
-    Error::new(Code::HeaderInvalid, format!("{name}: expected {allowed}"))
+    Error::new(Code::HeaderInvalid, format!("{name}: give {allowed}"))
 }
 
 fn workspace<'a>(force: &'a Force, name: &str) -> Result<&'a Workspace> {
--- a/src/entry/openai.rs
+++ b/src/entry/openai.rs
@@ -85,7 +85,7 @@
         };
         let choices = body.get("n").unwrap_or(&Value::Null);
         if !(choices.is_null() || choices == &json!(1)) {
-            return Err(malformed("n: only 1 is supported".into()));
+            return Err(malformed("n: only 1 choice is served".into()));
         }
         let max_tokens = match body.get("max_tokens").or(body.get("max_completion_tokens")) {
             None | Some(Value::Null) => DEFAULT_MAX_TOKENS,
@@ -93,9 +93,7 @@
                 .as_u64()
                 .and_then(|count| u32::try_from(count).ok())
                 .filter(|count| *count > 0)
-                .ok_or_else(|| {
-                    malformed("max_tokens: a positive 32-bit integer is required".into())
-                })?,
+                .ok_or_else(|| malformed("max_tokens: a number from 1 is required".into()))?,
         };
         Ok(Self { kind, model, prompt, stream, max_tokens, body })
     }
@@ -118,7 +116,7 @@
         .get("messages")
         .and_then(Value::as_array)
         .filter(|messages| !messages.is_empty())
-        .ok_or("messages: a non-empty list is required")?;
+        .ok_or("messages: a list of at least one message is required")?;
     let mut prompt = String::new();
     for (index, message) in messages.iter().enumerate() {
         let field = |name: &str| {
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -251,16 +251,15 @@
                 return Outcome::CallerGone;
             }
         }
-        Outcome::Broken("the engine's stream ended without a final event".into())
+        Outcome::Broken("the stream ended early".into())
     }
 
     /// Classifies an event as the expected chunk, a duplicate or the end of the stream. An error
     /// ends the attempt.
     fn read_chunk(&self, message: &async_sse::Message) -> Result<Chunk, String> {
-        let data = std::str::from_utf8(message.data())
-            .map_err(|_| "the engine sent a chunk that is not UTF-8")?;
+        let data = std::str::from_utf8(message.data()).map_err(|_| "a chunk is no text")?;
         if message.name() != "message" {
-            return Err(format!("the engine sent an event named {}: {data}", message.name()));
+            return Err(format!("the engine sent {}: {data}", message.name()));
         }
         let position = message.id().as_ref().and_then(|id| id.parse::<u64>().ok());
         match position {
@@ -268,14 +267,13 @@
             Some(position) if position == self.position => {}
             _ => {
                 let id = message.id();
-                return Err(format!("the engine sent chunk {id:?}, expected {}", self.position));
+                return Err(format!("chunk {id:?} came where {} was due", self.position));
             }
         }
         if data == END_OF_STREAM {
             return Ok(Chunk::End);
         }
-        let chunk =
-            serde_json::from_str(data).map_err(|_| "the engine sent a chunk that is not JSON")?;
+        let chunk = serde_json::from_str(data).map_err(|_| "a chunk is no JSON")?;
         Ok(Chunk::Next(data.to_owned(), chunk))
     }
 
@@ -294,7 +292,7 @@
 async fn wait_for_abort(commands: &Receiver<Command>, number: u32) -> Outcome {
     while let Ok(command) = commands.recv().await {
         if command == Command::Abort(number) {
-            return Outcome::Broken("the server is unreachable or has restarted".into());
+            return Outcome::Broken("the server does not answer or has restarted".into());
         }
     }
     std::future::pending().await
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -21,10 +21,9 @@
     let length = declared_length(headers)?;
     let coding = headers.get(TRANSFER_ENCODING);
     match (length, coding) {
-        (Some(_), Some(_)) => Err(Error::new(
-            Code::ConflictingLength,
-            "both Content-Length and Transfer-Encoding are present",
-        )),
+        (Some(_), Some(_)) => {
+            Err(Error::new(Code::ConflictingLength, "both length and transfer coding are given"))
+        }
         (Some(length), None) => Ok(Framing::Length(length)),
         (None, None) => Ok(Framing::Absent),
         (None, Some(coding)) => {
@@ -35,7 +34,7 @@
             } else {
                 Err(Error::new(
                     Code::ConflictingLength,
-                    "the only supported transfer coding is chunked",
+                    "only the transfer coding chunked is taken",
                 ))
             }
         }
@@ -53,9 +52,9 @@
             .parse::<u64>()
             .ok()
             .filter(|_| digits.bytes().all(|byte| byte.is_ascii_digit()))
-            .ok_or_else(|| Error::new(Code::ConflictingLength, "Content-Length is not a number"))?;
+            .ok_or_else(|| Error::new(Code::ConflictingLength, "Content-Length is no number"))?;
         if declared.is_some_and(|other| other != length) {
-            return Err(Error::new(Code::ConflictingLength, "Content-Length values differ"));
+            return Err(Error::new(Code::ConflictingLength, "two Content-Lengths differ"));
         }
         declared = Some(length);
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -71,7 +71,7 @@
             Ok(bytes) => Ok((self.response, bytes)),
             Err(ReadError::TooLarge) => Err(Failure {
                 stage: Stage::Sent,
-                reason: "the answer exceeds the size limit".into(),
+                reason: "the answer is too large".into(),
                 too_large: true,
             }),
             Err(ReadError::Truncated(reason)) => Err(Failure::new(Stage::Sent, reason)),
@@ -120,10 +120,9 @@
         return Ok(Framing::Length(0));
     }
     match body::framing(response.as_ref())? {
-        Framing::Absent => Err(Error::new(
-            Code::ConflictingLength,
-            "the answer has neither a length nor chunked coding",
-        )),
+        Framing::Absent => {
+            Err(Error::new(Code::ConflictingLength, "the answer has neither length nor chunks"))
+        }
         framing => Ok(framing),
     }
 }
--- a/src/relay/body.rs
+++ b/src/relay/body.rs
@@ -35,22 +35,19 @@
     let mut codings = fields.all("transfer-encoding");
     let (length, coding) = (lengths.next(), codings.next());
     if lengths.next().is_some() || codings.next().is_some() {
-        return Err(Malformed("Content-Length or Transfer-Encoding is repeated".into()));
+        return Err(Malformed("the length is declared twice".into()));
     }
     match (length, coding) {
-        (Some(_), Some(_)) => {
-            Err(Malformed("both Content-Length and Transfer-Encoding are present".into()))
-        }
+        (Some(_), Some(_)) => Err(Malformed("both length and transfer coding are given".into())),
         (None, None) => Ok(None),
         (None, Some(coding)) if coding.trim().eq_ignore_ascii_case("chunked") => {
             Ok(Some(Framing::Chunked))
         }
-        (None, Some(_)) => Err(Malformed("the only supported transfer coding is chunked".into())),
+        (None, Some(_)) => Err(Malformed("only the transfer coding chunked is taken".into())),
         (Some(length), None) => {
             let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
             let length = length.parse().ok().filter(|_| digits);
-            let length =
-                length.ok_or_else(|| Malformed("Content-Length is not a number".into()))?;
+            let length = length.ok_or_else(|| Malformed("Content-Length is no number".into()))?;
             Ok(Some(Framing::Length(length)))
         }
     }
@@ -154,20 +151,16 @@
     fn decode_line(&mut self, input: &[u8]) -> Result<usize, Malformed> {
         let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
             let long = input.len() > MAX_CHUNK_LINE_BYTES;
-            return if long {
-                Err(Malformed("a line of chunked framing is too long".into()))
-            } else {
-                Ok(0)
-            };
+            return if long { Err(Malformed("a chunk line is too long".into())) } else { Ok(0) };
         };
         self.0 = match self.0 {
             State::ChunkSize => match httparse::parse_chunk_size(&input[..end + 2]) {
                 Ok(httparse::Status::Complete((_, 0))) => State::Trailer,
                 Ok(httparse::Status::Complete((_, size))) => State::ChunkData(size),
-                _ => return Err(Malformed("a chunk size is malformed".into())),
+                _ => return Err(Malformed("a chunk's size is not well-formed".into())),
             },
             State::ChunkEnd if end == 0 => State::ChunkSize,
-            State::ChunkEnd => return Err(Malformed("a chunk exceeds its size".into())),
+            State::ChunkEnd => return Err(Malformed("a chunk is longer than its size".into())),
             State::Trailer if end == 0 => State::Complete,
             state => state,
         };
--- a/src/relay/head.rs
+++ b/src/relay/head.rs
@@ -124,10 +124,7 @@
             keep_alive,
         };
         if !request.target.starts_with('/') || request.fields.get("host").is_none() {
-            return Err(Malformed(
-                "the target is not a path, or the request does not have exactly one Host field"
-                    .into(),
-            ));
+            return Err(Malformed("the target is no path, or there is not one Host".into()));
         }
         Ok(Some((request, length)))
     }
