--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -17,7 +17,7 @@
             return;
         }
         let candidate = self.is_first_live_daemon(now);
-        if let Some(record) = self.lease.due(now, candidate) {
+        if let Some(record) = self.lease.due_record(now, candidate) {
             self.effects.push(Effect::AppendLease(record.encode()));
         }
     }
@@ -72,9 +72,9 @@
     }
 
     pub(super) fn fold_lease(&mut self, now: Time, offset: u64, text: &str) -> Option<()> {
-        let former_fence = self.lease.held().map(|held| held.fence);
+        let former_fence = self.lease.holder().map(|held| held.fence);
         self.lease.fold(now, offset, text)?;
-        if let Some(held) = self.lease.held()
+        if let Some(held) = self.lease.holder()
             && former_fence != Some(held.fence)
         {
             let detail = Detail::of("holder", held.daemon.as_str()).and("fence", held.fence);
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -152,7 +152,7 @@
             draining: self.draining,
             generation: self.generation(),
             published: self.manifest_in_force().map(|force| force.published.clone()),
-            lease_holder: self.lease.held().map(|held| held.daemon.clone()),
+            lease_holder: self.lease.holder().map(|held| held.daemon.clone()),
             log_up: reading.up,
             vm_list_up: self.vm_list_up,
             ledger_known: self.is_ledger_known(),
--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -58,7 +58,7 @@
             Figure::new("open", self.requests.len() as u64),
             Figure::new("waiting", self.waiting.len() as u64),
             Figure::new("lease_mine", u64::from(self.lease.fence(now).is_some())),
-            Figure::new("lease_fence", self.lease.held().map_or(0, |held| held.fence)),
+            Figure::new("lease_fence", self.lease.holder().map_or(0, |held| held.fence)),
             Figure::new("kv_store_up", u64::from(self.kv_store.is_up(now))),
             Figure::new("scheduler", u64::from(self.is_scheduler(now))),
             Figure::new("scheduled_for_others", self.served.len() as u64),
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -149,7 +149,7 @@
         let candidate = self.should_read(now, Dependency::Lease)
             && now >= since + CANDIDATE_DELAY_STEP * self.rank_among_daemons();
         if !self.draining
-            && let Some(record) = self.lease.due(now, candidate)
+            && let Some(record) = self.lease.due_record(now, candidate)
         {
             self.effects.push(Effect::AppendLease(record.encode()));
         }
@@ -317,7 +317,7 @@
     /// Applies records of the lease.
     pub(super) fn lease_read(&mut self, now: Time, first: u64, records: &[(u64, String)]) {
         self.mark_readable(now, Dependency::Lease);
-        let before = self.lease.held().map(|held| held.fence);
+        let before = self.lease.holder().map(|held| held.fence);
         self.lease.skip_to(first);
         for (offset, text) in records {
             if self.lease.fold(now, *offset, text).is_none() {
@@ -327,7 +327,7 @@
                 );
             }
         }
-        if let Some(held) = self.lease.held()
+        if let Some(held) = self.lease.holder()
             && before != Some(held.fence)
         {
             let detail = Detail::of("holder", held.daemon.as_str()).and("fence", held.fence);
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -27,7 +27,7 @@
     lease: lease::Terms {
         ttl: Duration::from_secs(3),
         margin: Duration::from_millis(400),
-        renewal: Duration::from_secs(1),
+        renewal_interval: Duration::from_secs(1),
     },
     quota: quota::Policy { window: Duration::from_secs(8), overage: 0.1, slack: 110_000.0 },
 };
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -12,7 +12,7 @@
 mod tests;
 
 pub use record::{Body, Record};
-pub use state::{Held, State};
+pub use state::{Holder, State};
 
 use crate::prelude::*;
 
@@ -24,7 +24,7 @@
     /// Time by which the holder stops early and others wait longer, for clocks that run apart.
     pub margin: Duration,
     /// Time between two renewals.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
 }
 
 impl Terms {
@@ -32,6 +32,6 @@
     pub const DEFAULT: Self = Self {
         ttl: Duration::from_secs(5),
         margin: Duration::from_secs(1),
-        renewal: Duration::from_millis(1_500),
+        renewal_interval: Duration::from_millis(1_500),
     };
 }
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -4,11 +4,11 @@
 use crate::prelude::*;
 
 /// Own records whose sending time is remembered.
-const MAX_SENT: usize = 16;
+const MAX_SENT_RECORDS: usize = 16;
 
 /// Who holds the lease, by the log's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct Holder {
     /// The daemon.
     pub daemon: String,
     /// Its incarnation.
@@ -24,21 +24,21 @@
     daemon: String,
     incarnation: u64,
     sequence: u64,
-    held: Option<Held>,
+    holder: Option<Holder>,
     next: u64,
     /// Offset of the last accepted record.
     last: Option<u64>,
     /// The oldest offset that was read.
     first: u64,
     /// Whether all records since the last forgotten one are known to have been judged as by all.
-    base_known: bool,
+    is_base_known: bool,
     /// When the last accepted record was read.
     read_at: Time,
     /// When own records were sent, by sequence.
     sent: BTreeMap<u64, Time>,
     last_sent: Option<Time>,
     /// Until when this daemon may act as the holder, by its own clock.
-    own_until: Time,
+    holds_until: Time,
     /// When this daemon read that it had taken the lease.
     taken_at: Time,
 }
@@ -51,15 +51,15 @@
             daemon,
             incarnation,
             sequence: 0,
-            held: None,
+            holder: None,
             next: 0,
             last: None,
             first: 0,
-            base_known: true,
+            is_base_known: true,
             read_at: Time::ZERO,
             sent: BTreeMap::new(),
             last_sent: None,
-            own_until: Time::ZERO,
+            holds_until: Time::ZERO,
             taken_at: Time::ZERO,
         }
     }
@@ -70,8 +70,8 @@
     }
 
     /// Who holds the lease, whether or not it has run out.
-    pub fn held(&self) -> Option<&Held> {
-        self.held.as_ref()
+    pub fn holder(&self) -> Option<&Holder> {
+        self.holder.as_ref()
     }
 
     /// Continues at `offset`, where the log no longer has what comes before it.
@@ -79,7 +79,7 @@
         if offset > self.next {
             self.next = offset;
             self.first = offset;
-            self.base_known = false;
+            self.is_base_known = false;
         }
     }
 
@@ -93,7 +93,7 @@
         if !self.is_next(&record) {
             return Some(());
         }
-        self.base_known |= record.after == self.last;
+        self.is_base_known |= record.after == self.last;
         self.last = Some(offset);
         let fence = match record.body {
             Body::Take => offset,
@@ -102,13 +102,13 @@
         if record.body == Body::Take && self.is_own(&record) {
             self.taken_at = now;
         }
-        self.held =
-            Some(Held { daemon: record.daemon.clone(), incarnation: record.incarnation, fence });
+        self.holder =
+            Some(Holder { daemon: record.daemon.clone(), incarnation: record.incarnation, fence });
         self.read_at = now;
         if self.is_own(&record)
             && let Some(sent) = self.sent.get(&record.sequence)
         {
-            self.own_until = *sent + self.terms.ttl - self.terms.margin;
+            self.holds_until = *sent + self.terms.ttl - self.terms.margin;
         }
         Some(())
     }
@@ -118,7 +118,7 @@
     /// word, since only a daemon that had accepted it would name it.
     fn is_next(&self, record: &Record) -> bool {
         let forgotten = record.after.is_some_and(|after| after < self.first);
-        record.after == self.last || (!self.base_known && forgotten)
+        record.after == self.last || (!self.is_base_known && forgotten)
     }
 
     fn is_own(&self, record: &Record) -> bool {
@@ -127,9 +127,9 @@
 
     /// The fencing number, while this daemon may act as the holder.
     pub fn fence(&self, now: Time) -> Option<u64> {
-        let held = self.held.as_ref()?;
-        let own = held.daemon == self.daemon && held.incarnation == self.incarnation;
-        (own && now < self.own_until).then_some(held.fence)
+        let holder = self.holder.as_ref()?;
+        let is_holder = holder.daemon == self.daemon && holder.incarnation == self.incarnation;
+        (is_holder && now < self.holds_until).then_some(holder.fence)
     }
 
     /// Whether a whole [`Terms::ttl`] has passed since this daemon took the lease: a former holder that
@@ -140,24 +140,23 @@
 
     /// The record to append now, if one is due. `candidate` tells whether this daemon is the one
     /// to take a lease that has run out.
-    pub fn due(&mut self, now: Time, candidate: bool) -> Option<Record> {
-        if self.last_sent.is_some_and(|sent| now < sent + self.terms.renewal) {
+    pub fn due_record(&mut self, now: Time, is_candidate: bool) -> Option<Record> {
+        if self.last_sent.is_some_and(|sent| now < sent + self.terms.renewal_interval) {
             return None;
         }
-        let own = self
-            .held
-            .as_ref()
-            .is_some_and(|held| held.daemon == self.daemon && held.incarnation == self.incarnation);
-        let ran_out = now >= self.read_at + self.terms.ttl + self.terms.margin;
-        let fence = self.held.as_ref().map(|held| held.fence);
+        let is_holder = self.holder.as_ref().is_some_and(|holder| {
+            holder.daemon == self.daemon && holder.incarnation == self.incarnation
+        });
+        let has_expired = now >= self.read_at + self.terms.ttl + self.terms.margin;
+        let fence = self.holder.as_ref().map(|holder| holder.fence);
         let body = match fence {
-            Some(fence) if own && now < self.own_until => Body::Renew { fence },
-            _ if candidate && ran_out => Body::Take,
+            Some(fence) if is_holder && now < self.holds_until => Body::Renew { fence },
+            _ if is_candidate && has_expired => Body::Take,
             _ => return None,
         };
         self.sequence += 1;
         self.sent.insert(self.sequence, now);
-        if self.sent.len() > MAX_SENT {
+        if self.sent.len() > MAX_SENT_RECORDS {
             self.sent.pop_first();
         }
         self.last_sent = Some(now);
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -5,29 +5,29 @@
 const TTL: Duration = Terms::DEFAULT.ttl;
 const MARGIN: Duration = Terms::DEFAULT.margin;
 
-const DAEMONS: usize = 3;
+const DAEMON_COUNT: usize = 3;
 
 /// Daemons that send, lose, delay and pause; the log keeps an order.
-fn history(seed: u64) {
+fn run_history(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut states: Vec<State> = (0..DAEMONS)
+    let mut states: Vec<State> = (0..DAEMON_COUNT)
         .map(|index| State::new(format!("router-{index}"), seed, Terms::DEFAULT))
         .collect();
     let mut log: Vec<String> = Vec::new();
-    let mut late: Vec<String> = Vec::new();
-    let mut paused = [Time::ZERO; DAEMONS];
+    let mut delayed: Vec<String> = Vec::new();
+    let mut paused = [Time::ZERO; DAEMON_COUNT];
     let mut now = Time::ZERO;
-    let mut highest = None;
-    let mut held_by_anyone = 0;
+    let mut max_fence = None;
+    let mut held_count = 0;
     for _ in 0..3_000 {
         now += Duration::from_millis(rng.u64(0..100));
-        let index = rng.usize(0..DAEMONS);
+        let index = rng.usize(0..DAEMON_COUNT);
         if rng.u32(0..200) == 0 {
             paused[index] = now + Duration::from_millis(rng.u64(0..15_000));
         }
-        if rng.u32(0..20) == 0 && !late.is_empty() {
-            let landed = late.swap_remove(rng.usize(0..late.len()));
-            log.push(landed);
+        if rng.u32(0..20) == 0 && !delayed.is_empty() {
+            let record = delayed.swap_remove(rng.usize(0..delayed.len()));
+            log.push(record);
         }
         if now < paused[index] {
             continue;
@@ -36,17 +36,17 @@
         let holders: Vec<u64> = states.iter().filter_map(|state| state.fence(now)).collect();
         assert!(holders.len() <= 1, "seed {seed}: {holders:?} hold the lease at once");
         if let Some(fence) = holders.first() {
-            held_by_anyone += 1;
-            assert!(Some(*fence) >= highest, "seed {seed}: fence {fence} after {highest:?}");
-            highest = Some(*fence);
+            held_count += 1;
+            assert!(Some(*fence) >= max_fence, "seed {seed}: fence {fence} after {max_fence:?}");
+            max_fence = Some(*fence);
         }
         let state = &mut states[index];
         match rng.u32(0..3) {
             0 => {
-                if let Some(record) = state.due(now, rng.bool()) {
+                if let Some(record) = state.due_record(now, rng.bool()) {
                     match rng.u32(0..10) {
                         0 => {}
-                        1 => late.push(record.encode()),
+                        1 => delayed.push(record.encode()),
                         _ => log.push(record.encode()),
                     }
                 }
@@ -59,21 +59,21 @@
             }
         }
     }
-    assert!(held_by_anyone > 100, "seed {seed}: the lease was hardly ever held");
+    assert!(held_count > 100, "seed {seed}: the lease was hardly ever held");
 }
 
 #[test]
-fn history_one_holder_and_growing_fences() {
+fn history_has_one_holder_and_growing_fences() {
     for seed in 0..300 {
-        history(seed);
+        run_history(seed);
     }
 }
 
 #[test]
-fn fold_paused_holder_stops_by_its_own_clock() {
+fn fence_of_paused_holder_expires_by_its_own_clock() {
     let mut state = State::new("router-0".into(), 1, Terms::DEFAULT);
     let start = Duration::from_secs(10);
-    let take = state.due(start, true).expect("nobody holds it");
+    let take = state.due_record(start, true).expect("nobody holds it");
     state.fold(start, 0, &take.encode());
     assert_eq!(state.fence(start), Some(0));
     let early = start + TTL - MARGIN;
@@ -84,13 +84,14 @@
 }
 
 #[test]
-fn fold_second_taker_loses() {
+fn fold_second_take_is_rejected() {
     let mut states = [
         State::new("router-0".into(), 1, Terms::DEFAULT),
         State::new("router-1".into(), 2, Terms::DEFAULT),
     ];
     let now = Duration::from_secs(10);
-    let takes: Vec<Record> = states.iter_mut().filter_map(|state| state.due(now, true)).collect();
+    let takes: Vec<Record> =
+        states.iter_mut().filter_map(|state| state.due_record(now, true)).collect();
     assert_eq!(takes.len(), 2);
     for state in &mut states {
         for (offset, take) in takes.iter().enumerate() {
@@ -102,19 +103,19 @@
 }
 
 #[test]
-fn fold_forgotten_base_heals() {
+fn fold_after_retention_recovers_holder() {
     let record = |daemon: &str, after, body| Record::new(daemon, 1, 1, after, body).encode();
-    let mut newcomer = State::new("router-9".into(), 1, Terms::DEFAULT);
-    newcomer.skip_to(10);
+    let mut state = State::new("router-9".into(), 1, Terms::DEFAULT);
+    state.skip_to(10);
     // The first that is left was refused by all who knew what came before: it named a record that
     // was no longer the last.
-    newcomer.fold(Time::ZERO, 10, &record("loser", Some(3), Body::Take));
-    newcomer.fold(Time::ZERO, 11, &record("holder", Some(9), Body::Renew { fence: 5 }));
-    newcomer.fold(Time::ZERO, 12, &record("holder", Some(11), Body::Renew { fence: 5 }));
-    let held = newcomer.held().expect("it is held");
-    assert_eq!((held.daemon.as_str(), held.fence), ("holder", 5));
-    newcomer.fold(Time::ZERO, 13, &record("loser", Some(3), Body::Take));
-    assert_eq!(newcomer.held().map(|held| held.fence), Some(5));
+    state.fold(Time::ZERO, 10, &record("loser", Some(3), Body::Take));
+    state.fold(Time::ZERO, 11, &record("holder", Some(9), Body::Renew { fence: 5 }));
+    state.fold(Time::ZERO, 12, &record("holder", Some(11), Body::Renew { fence: 5 }));
+    let holder = state.holder().expect("it is held");
+    assert_eq!((holder.daemon.as_str(), holder.fence), ("holder", 5));
+    state.fold(Time::ZERO, 13, &record("loser", Some(3), Body::Take));
+    assert_eq!(state.holder().map(|holder| holder.fence), Some(5));
 }
 
 quickcheck::quickcheck! {
@@ -123,6 +124,6 @@
         for (offset, text) in texts.iter().enumerate() {
             state.fold(Time::ZERO, offset as u64, text);
         }
-        state.held().is_none()
+        state.holder().is_none()
     }
 }
