--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -54,7 +54,7 @@
         };
         let usable: Vec<(membership::Key, &Server)> = self.usable_servers(now, request).collect();
         let untried: Vec<(membership::Key, &Server)> =
-            usable.iter().copied().filter(|(key, _)| !state.failed.contains(key)).collect();
+            usable.iter().copied().filter(|(key, _)| !state.failed_servers.contains(key)).collect();
         let mut servers = if untried.is_empty() { usable } else { untried };
         self.poison.avoid_other_suspects(
             state.arrival.fingerprint,
@@ -72,7 +72,7 @@
         };
         let ask = Ask {
             prefix: &state.arrival.prefix,
-            tokens: state.arrival.tokens,
+            tokens: state.arrival.prompt_tokens,
             objective,
             copies: self.max_copies(now, state.arrival.prefix.level(0), candidates.len()),
             held: self.max_reachable_depth(&depth),
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -1,7 +1,7 @@
 //! Handling of reports on attempts.
 
 use super::Node;
-use crate::attempt::{self, Next, Outcome, Phase, Report, next};
+use crate::attempt::{self, Action, Outcome, Phase, Report, next_action};
 use crate::prelude::*;
 
 /// Time within which a broken stream must continue.
@@ -39,7 +39,7 @@
         };
         let (server, pending_tokens, was_begun) =
             (*server, *pending_tokens, std::mem::replace(begun, true));
-        let tokens = state.arrival.tokens;
+        let tokens = state.arrival.prompt_tokens;
         let blocks = state.arrival.prefix.blocks.clone();
         if !was_begun {
             self.record_prompt_computed(server, pending_tokens);
@@ -74,10 +74,10 @@
         if matches!(outcome, Outcome::Broken(_) | Outcome::Mismatch(_) | Outcome::TooLarge) {
             state.maybe_ran = true;
         }
-        match next(state, &outcome, may_retry) {
-            Next::Finish => self.finish(now, request, outcome),
-            Next::Retry => self.retry(now, request),
-            Next::GiveUp(code, detail) => {
+        match next_action(state, &outcome, may_retry) {
+            Action::Finish => self.finish(now, request, outcome),
+            Action::Retry => self.retry(now, request),
+            Action::GiveUp(code, detail) => {
                 self.release_and_refuse(now, request, Error::new(code, detail).into());
             }
         }
@@ -130,13 +130,13 @@
         };
         if let Outcome::Broken(_) = outcome
             && state.begun
-            && state.stream.is_none()
+            && state.stream_holder.is_none()
         {
             let incarnation = self.membership.get(server).and_then(|s| s.incarnation.clone());
-            state.stream = Some((server, incarnation));
+            state.stream_holder = Some((server, incarnation));
         } else {
-            state.stream = None;
-            state.failed.insert(server);
+            state.stream_holder = None;
+            state.failed_servers.insert(server);
         }
     }
 
@@ -162,7 +162,7 @@
         };
         self.release_slot(now, &state);
         self.counts.retried += 1;
-        let resumed = state.stream.is_some();
+        let resumed = state.stream_holder.is_some();
         let Some(current) = self.requests.get_mut(&request) else {
             return;
         };
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -72,7 +72,7 @@
             priority: Priority::Normal,
             deadline: self.simulation.now + Duration::from_secs(1),
             prefix: Prefix::new(salt, prompt.as_bytes(), &[]),
-            tokens: 2_048,
+            prompt_tokens: 2_048,
             max_tokens: 1,
             idempotent: true,
             fingerprint: Fingerprint(request.0),
--- a/src/control/tests/simulation.rs
+++ b/src/control/tests/simulation.rs
@@ -318,7 +318,7 @@
         let request = attempt::Key(self.next_request);
         self.next_request += 1;
         self.keys_by_request.insert(request, key.unwrap_or_default().to_owned());
-        let claim = key.map(|key| ledger::Ask {
+        let claim = key.map(|key| ledger::Proposal {
             key: ledger::Key { workspace: "w".into(), service: "pay".into(), key: key.into() },
             digest: "digest".into(),
             window_s: 1_000,
@@ -332,7 +332,7 @@
             priority: Priority::Normal,
             deadline: self.now + Duration::from_secs(1),
             prefix: Prefix::default(),
-            tokens: 0,
+            prompt_tokens: 0,
             max_tokens: 1,
             idempotent: false,
             fingerprint: Fingerprint(request.0),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: callers' HTTP requests, from the connection to the last byte of the answer.
+//! Serves callers' HTTP requests, from the connection to the last byte of the answer.
 
 mod answer;
 mod arrival;
@@ -21,7 +21,7 @@
 
 use crate::attempt::Outcome;
 use crate::daemon::Control;
-use crate::http::server::{self, Whole};
+use crate::http::server::{self, Received};
 use crate::http::{Socket, client, header};
 use crate::manifest::Force;
 use crate::prelude::*;
@@ -29,28 +29,28 @@
 use crate::telemetry::metrics::Metrics;
 use crate::telemetry::trace::Hop;
 
-/// Time for a refused connection to end.
+/// Time allowed for a refused connection to close.
 const REFUSAL_LINGER: Duration = Duration::from_secs(1);
 
-/// Serves callers.
+/// The listener side of a daemon: authenticates, routes and answers callers' requests.
 #[derive(Debug)]
 pub struct Entry {
     id: String,
     limits: Limits,
-    exchange: client::Limits,
+    client_limits: client::Limits,
     control: Control,
     metrics: Arc<Metrics>,
     executor: Arc<Executor<'static>>,
     incarnation: u64,
 }
 
-/// One caller's request, with what all paths need of it.
+/// One caller's request, with the context that all routes need.
 struct Call {
-    whole: Whole,
+    whole: Received,
     force: Arc<Force>,
     workspace: String,
     hop: Hop,
-    since: Time,
+    arrived_at: Time,
 }
 
 impl From<client::Failure> for Outcome {
@@ -63,7 +63,7 @@
 }
 
 impl Entry {
-    /// An entry that hands its requests to `control`.
+    /// Creates an entry that hands its requests to `control`.
     pub fn new(
         settings: &Settings,
         control: Control,
@@ -73,7 +73,7 @@
         Self {
             id: settings.id.clone(),
             limits: settings.limits,
-            exchange: settings.limits.exchange(),
+            client_limits: settings.limits.exchange(),
             control,
             metrics,
             executor: Arc::clone(executor),
@@ -81,15 +81,19 @@
         }
     }
 
-    /// Serves a new connection, or refuses it where there are too many.
-    pub fn connect(self: &Arc<Self>, stream: Async<TcpStream>, connections: &Arc<Connections>) {
+    /// Serves a new connection, or refuses it when the connection limit is reached.
+    pub fn serve_connection(
+        self: &Arc<Self>,
+        stream: Async<TcpStream>,
+        connections: &Arc<Connections>,
+    ) {
         let socket = Socket::new(stream, Duration::from_millis(self.limits.idle_ms));
         let entry = Arc::clone(self);
         let Some(guard) = connections.add(socket.clone()) else {
             return self.executor.spawn(refuse_connection(socket)).detach();
         };
         let serving = async move {
-            let endpoint = |request, socket| entry.clone().answer(request, socket);
+            let endpoint = |request, socket| entry.clone().handle_request(request, socket);
             if let Err(error) = server::serve(socket, endpoint).await {
                 crate::telemetry::emit(
                     Event::ConnectionFailed,
@@ -101,7 +105,7 @@
         self.executor.spawn(serving).detach();
     }
 
-    async fn answer(
+    async fn handle_request(
         self: Arc<Self>,
         request: Request,
         socket: Socket,
@@ -112,7 +116,7 @@
                 close = whole.close;
                 self.route(whole).await
             }
-            Err(error) => self.refusal(&error.into()),
+            Err(error) => self.refusal_answer(&error.into()),
         };
         if close || self.control.is_draining() {
             answer.insert_header("connection", "close");
@@ -121,31 +125,35 @@
         Ok(answer)
     }
 
-    async fn route(self: &Arc<Self>, whole: Whole) -> Response {
-        let since = self.control.clock.now();
+    async fn route(self: &Arc<Self>, whole: Received) -> Response {
+        let arrived_at = self.control.clock.now();
         let head = &whole.request;
         let traceparent = header::single(head.as_ref(), header::TRACEPARENT).ok().flatten();
         let hop = Hop::first("entry", traceparent);
         let path = head.url().path().to_owned();
         let (workspace, force) = match self.authenticate(head) {
             Ok(found) => found,
-            Err(error) => return self.refusal(&error.into()),
+            Err(error) => return self.refusal_answer(&error.into()),
         };
         hop.note("workspace", workspace.clone());
-        let call = Call { whole, force, workspace, hop, since };
+        let call = Call { whole, force, workspace, hop, arrived_at };
         match (call.whole.request.method(), path.as_str()) {
-            (Method::Post, "/v1/chat/completions" | "/v1/completions") => self.model(call).await,
-            (Method::Get, "/v1/models") => models(&call),
-            (_, path) if path.starts_with("/services/") => self.service(call).await,
+            (Method::Post, "/v1/chat/completions" | "/v1/completions") => {
+                self.serve_completion(call).await
+            }
+            (Method::Get, "/v1/models") => list_models(&call),
+            (_, path) if path.starts_with("/services/") => self.serve_service(call).await,
             (_, "/v1/chat/completions" | "/v1/completions") => {
-                self.refusal(&Error::new(Code::MethodNotAllowed, "POST").into())
+                self.refusal_answer(&Error::new(Code::MethodNotAllowed, "POST").into())
+            }
+            (_, "/v1/models") => {
+                self.refusal_answer(&Error::new(Code::MethodNotAllowed, "GET").into())
             }
-            (_, "/v1/models") => self.refusal(&Error::new(Code::MethodNotAllowed, "GET").into()),
-            (_, path) => self.refusal(&Error::new(Code::UnknownPath, path).into()),
+            (_, path) => self.refusal_answer(&Error::new(Code::UnknownPath, path).into()),
         }
     }
 
-    /// The workspace that the request's bearer key belongs to.
+    /// Finds the workspace that owns the request's bearer key.
     fn authenticate(&self, request: &Request) -> Result<(String, Arc<Force>)> {
         let force = self.control.force().ok_or(Code::NoManifest)?;
         let value = header::single(request.as_ref(), "authorization")?.ok_or(Code::MissingKey)?;
@@ -159,7 +167,7 @@
     }
 }
 
-/// Answers a connection that is one too many, whatever it asks.
+/// Refuses a connection over the limit, whatever it requests.
 async fn refuse_connection(mut socket: Socket) {
     let row = Code::TooManyConnections.row();
     let refusal = Code::TooManyConnections.into();
@@ -178,7 +186,7 @@
     let linger = async {
         socket.write_all(text.as_bytes()).await?;
         socket.close().await?;
-        // What the caller still sends is read, or a reset could overtake the answer.
+        // Drains what the caller still sends; otherwise a TCP reset could discard the answer.
         futures_lite::io::copy(&mut socket, &mut futures_lite::io::sink()).await
     };
     let end = async {
@@ -188,7 +196,7 @@
     linger.or(end).await.ok();
 }
 
-fn models(call: &Call) -> Response {
+fn list_models(call: &Call) -> Response {
     let workspace = call.force.manifest.workspaces.get(&call.workspace);
     let models: Vec<serde_json::Value> = workspace
         .into_iter()
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -1,4 +1,4 @@
-//! Request bodies of any shape.
+//! Tests of request parsing, merged answers and late service calls.
 
 use std::net::TcpListener;
 
@@ -7,11 +7,11 @@
 use quickcheck::quickcheck;
 use serde_json::json;
 
-use super::openai::{Completion, Kind, chunk_text, prompt, whole};
+use super::openai::{Completion, Kind, chunk_text, merged_answer, prompt};
 use super::{Call, Entry};
 use crate::attempt::{self, Dispatch, Outcome};
 use crate::daemon::Control;
-use crate::http::server::Whole;
+use crate::http::server::Received;
 use crate::manifest::{self, Force};
 use crate::membership;
 use crate::prelude::*;
@@ -50,37 +50,38 @@
 }
 
 #[test]
-fn whole_joins_chunks() {
+fn merged_answer_keeps_last_chunk() {
     let chunk =
         json!({ "choices": [{ "text": "t", "finish_reason": "stop" }], "usage": { "x": 1 } });
     assert_eq!(chunk_text(Kind::Text, &chunk), "t");
     assert_eq!(chunk_text(Kind::Chat, &chunk), "");
-    let answer = whole(Kind::Text, "id", "m", "text", Some(&chunk));
+    let answer = merged_answer(Kind::Text, "id", "m", "text", Some(&chunk));
     assert_eq!(answer["choices"][0]["finish_reason"], "stop");
     assert_eq!(answer["usage"]["x"], 1);
 }
 
-/// An entry without a control thread behind it.
+/// Creates an entry whose control thread does not run.
 fn entry() -> Entry {
     let settings = json!({
         "id": "router-0", "region": "r", "zone": "z",
         "listen": "127.0.0.1:0", "peer_listen": "127.0.0.1:0", "operators_listen": "127.0.0.1:0",
         "log_service": "127.0.0.1:1", "vm_list": "127.0.0.1:1",
     });
-    let settings = Settings::parse(settings.to_string().as_bytes()).expect("they are sound");
-    let metrics = Arc::new(Metrics::new().expect("instruments"));
+    let settings =
+        Settings::parse(settings.to_string().as_bytes()).expect("the settings are valid");
+    let metrics = Arc::new(Metrics::new().expect("instruments can be created"));
     Entry::new(&settings, Control::new().0, metrics, &Arc::default())
 }
 
 #[test]
-fn exchange_late_sends_nothing() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("an address");
-    listener.set_nonblocking(true).expect("it does not wait");
+fn send_call_late_sends_nothing() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port exists");
+    let address = listener.local_addr().expect("a bound listener has an address");
+    listener.set_nonblocking(true).expect("a listener can be non-blocking");
     let manifest = json!({ "format": 1, "pools": {}, "workspaces": {} }).to_string();
-    let manifest = manifest::parse(manifest.as_bytes()).expect("it is sound");
+    let manifest = manifest::parse(manifest.as_bytes()).expect("the manifest is valid");
     let call = Call {
-        whole: Whole {
+        whole: Received {
             request: Request::new(Method::Post, "http://localhost/services/pay/x"),
             body: b"payment".to_vec(),
             close: false,
@@ -88,7 +89,7 @@
         force: Arc::new(Force::new(1, String::new(), manifest)),
         workspace: "w".into(),
         hop: Hop::first("entry", None),
-        since: Time::ZERO,
+        arrived_at: Time::ZERO,
     };
     let dispatch = Dispatch {
         attempt: 1,
@@ -100,12 +101,12 @@
         import: None,
         deadline: Time::ZERO,
     };
-    let exchange = entry();
+    let entry = entry();
     let (outcome, answer) =
-        block_on(exchange.exchange(&call, "/x", attempt::Key(0), &dispatch, &call.hop));
+        block_on(entry.send_call(&call, "/x", attempt::Key(0), &dispatch, &call.hop));
     assert_eq!(outcome, Outcome::Late);
     assert!(answer.is_none());
-    assert!(listener.accept().is_err(), "no connection was made");
+    assert!(listener.accept().is_err(), "a late call must not open a connection");
 }
 
 quickcheck! {
--- a/src/fleet/tests/review.rs
+++ b/src/fleet/tests/review.rs
@@ -1,4 +1,4 @@
-//! Where an age still starts at hearing, and where a request that must not begin is not taken back.
+//! Ages of weights versions that were learnt late, and recalls of requests that may no longer begin.
 
 use super::site::Site;
 use super::world::*;
@@ -6,13 +6,13 @@
 use crate::prelude::*;
 use crate::route::Repeat;
 
-const OLD: &str = "engine 201 ready 1";
+const OLD_ENGINE: &str = "engine 201 ready 1";
 
 fn naming(version: u64, age: Duration) -> Naming {
     Naming { model: "m".into(), version, age: Some(age) }
 }
 
-/// Sends a request of the engines' route; its key, and the weights that it is sent to.
+/// Sends a request to the engines; returns its key and the weights version of its dispatch.
 fn send(daemon: &mut Daemon, now: Time) -> (Key, Option<u64>) {
     let (request, effects) =
         daemon.arrive(now, &route("engines", Repeat::AtMostOnce, 1), Some(prompt(7, 3)));
@@ -23,7 +23,7 @@
     (request, sent)
 }
 
-fn is_given_up(effects: &[Effect]) -> bool {
+fn gives_up(effects: &[Effect]) -> bool {
     commands(effects).iter().any(|command| matches!(command, Command::GiveUp))
 }
 
@@ -35,68 +35,73 @@
     frames.collect()
 }
 
-// The store swallows the reads of all daemons that wait, and is back at once. Weights are named. The read that was
-// asked first ends in vain 3.5 s after it was asked, the next one brings the version, and its daemon tells the others,
-// whose reads are still in flight as far as they know: they take the weights for named just now. The one that read
-// doesn't know, and takes over what they say; nobody corrects them.
+// The store loses the pending reads of all daemons in a short outage, then weights are named. The oldest read times
+// out after 3.5 s and the next one returns the version. Its daemon sends it to the others, whose reads still seem to be
+// pending, so they take the weights for named just now. The daemon that read the version doesn't know its age and
+// adopts theirs, so no daemon corrects it.
 #[test]
-fn named_after_an_outage_that_swallowed_all_reads() {
-    let mut site = Site::new(3, &[("e-1", OLD)]);
+fn weights_named_in_an_outage_that_lost_all_reads_expire_in_time() {
+    let mut site = Site::new(3, &[("e-1", OLD_ENGINE)]);
     let failed = || Message::ReadFailed(Dependency::Topic(Topic::Operator), "no answer".into());
-    site.daemons[0].hear_store(site.now);
-    site.pass(ms(400));
+    site.daemons[0].finish_empty_read(site.now);
+    site.advance(ms(400));
     for daemon in &mut site.daemons[1..] {
-        daemon.hear_store(site.now);
+        daemon.finish_empty_read(site.now);
     }
-    // The outage lasts for a moment here.
-    site.pass(ms(300));
+    // The short outage is here.
+    site.advance(ms(300));
     let named_at = site.now;
-    site.pass(ms(2_800));
+    site.advance(ms(2_800));
     site.apply(0, failed());
-    site.pass(ms(300));
-    let effects = site.daemons[0].put(site.now, Topic::Operator, &[("version/m", "weights 2")]);
-    for (to, message) in site.carry(0, effects) {
+    site.advance(ms(300));
+    let effects =
+        site.daemons[0].deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
+    for (to, message) in site.execute_effects(0, effects) {
         site.apply(to, message);
     }
-    site.pass(ms(100));
+    site.advance(ms(100));
     for index in 1..3 {
         site.apply(index, failed());
-        site.pass(ms(300));
-        site.daemons[index].hear_store(site.now);
+        site.advance(ms(300));
+        site.daemons[index].finish_empty_read(site.now);
     }
     let end = named_at + POLICY.weights_limit;
-    site.pass(end + ms(100) - site.now);
-    let true_age = site.now - named_at;
-    let ages = site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
-    let ages: Vec<Option<Duration>> = ages.collect();
+    site.advance(end + ms(100) - site.now);
+    let age = site.now - named_at;
+    let believed_ages =
+        site.daemons.iter().map(|daemon| daemon.node.superseded_for(site.now, "m", 1));
+    let believed_ages: Vec<Option<Duration>> = believed_ages.collect();
     for index in 0..3 {
         site.arrive(index, "engines", Repeat::AtMostOnce);
     }
-    let sent = site.told.iter().flatten().filter_map(|(_, command)| match command {
+    let sent = site.sent_commands.iter().flatten().filter_map(|(_, command)| match command {
         Command::Dispatch(dispatch) => dispatch.weights_version,
         Command::Refuse(..) | Command::GiveUp => None,
     });
     let sent: Vec<u64> = sent.collect();
-    assert!(sent.is_empty(), "{sent:?} {true_age:?} after the naming, believed {ages:?}");
+    assert!(
+        sent.is_empty(),
+        "sent to versions {sent:?} {age:?} after the naming, believed ages {believed_ages:?}"
+    );
 }
 
-// The store ends for not quite two seconds as weights are named: every daemon's read fails, and the next one has the
-// version. Each takes it for named just now, since it had known 1.9 s before that it missed nothing. A request that
-// waits in an engine's queue is taken back 1.5 s after the limit.
+// The store is down for almost two seconds while weights are named: every daemon's read fails, and the next one
+// returns the version. Each daemon takes it for named just now, as it was up to date 1.9 s before. A request that
+// waits in an engine's queue is recalled 1.5 s after the limit.
 #[test]
-fn named_as_the_store_ended_is_recalled_within_the_limit() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+fn weights_named_at_a_store_crash_recall_requests_within_the_limit() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD_ENGINE)]);
     for time in (0..=4_000).step_by(50) {
         daemon.tick(ms(time));
     }
-    daemon.hear_store(ms(4_000));
+    daemon.finish_empty_read(ms(4_000));
     let named_at = ms(4_050);
     let failed = Message::ReadFailed(Dependency::Topic(Topic::Operator), "reset".into());
     daemon.node.apply(ms(4_060), failed);
     for time in (4_060..5_950).step_by(50) {
         daemon.tick(ms(time));
     }
-    daemon.put(ms(5_950), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(5_950), Topic::Operator, &[("version/m", "weights 2")]);
     for time in (5_950..11_400).step_by(50) {
         daemon.tick(ms(time));
     }
@@ -106,24 +111,32 @@
     let mut now = ms(11_400);
     while now < end {
         now += ms(20);
-        recalled |= is_given_up(&daemon.tick(now));
+        recalled |= gives_up(&daemon.tick(now));
     }
     let believed = daemon.node.superseded_for(now, "m", 1);
-    assert!(recalled, "not begun {:?} after the naming, believed {believed:?}", now - named_at);
+    assert!(
+        recalled,
+        "not recalled {:?} after the naming, believed age {believed:?}",
+        now - named_at
+    );
 }
 
-// A daemon that starts doesn't know since when version 2 has been named. Sixteen more are named, so that 2 is forgotten
-// and its place in the list, and what is not known of it, goes to version 3; a peer's word on 3 is then taken for
-// it. An engine that has started again with version 1 is used, though it was overtaken nobody knows when.
+// A starting daemon doesn't know when version 2 was named. Sixteen more versions are named, so version 2 is dropped
+// from the list and version 3 takes over its unknown age. A peer's age of version 3 then replaces it, and an engine
+// that restarted with version 1 is used, though version 1 was superseded at an unknown time.
 #[test]
-fn forgotten_version_of_unknown_age_stays_unknown() {
+fn age_of_a_forgotten_version_stays_unknown() {
     let mut daemon = Daemon::new(1);
-    daemon.put(ms(20), Topic::Operator, &[("version/m", "weights 2"), ("config", "table 1")]);
-    daemon.put(ms(20), Topic::Servers, &[("e-1", OLD)]);
+    daemon.deliver_records(
+        ms(20),
+        Topic::Operator,
+        &[("version/m", "weights 2"), ("config", "table 1")],
+    );
+    daemon.deliver_records(ms(20), Topic::Servers, &[("e-1", OLD_ENGINE)]);
     assert_eq!(send(&mut daemon, ms(30)).1, None);
     for version in 3..=18 {
         let value = format!("weights {version}");
-        daemon.put(ms(100), Topic::Operator, &[("version/m", &value)]);
+        daemon.deliver_records(ms(100), Topic::Operator, &[("version/m", &value)]);
     }
     assert_eq!(send(&mut daemon, ms(110)).1, None);
     let digest = Digest {
@@ -136,39 +149,39 @@
     assert_eq!(send(&mut daemon, ms(130)).1, None);
 }
 
-// A scheduler placed a request at an engine with old weights, and ended before it would have taken it back. The
-// daemon that has the request knows the limit as well, but takes nothing back that a scheduler placed, until
-// it no longer counts the scheduler as there, 1.75 s after its last word.
+// A scheduler placed a request at an engine with old weights and crashed before it would have recalled it. The
+// daemon that holds the request knows the limit too, but recalls no request that a scheduler placed until it counts
+// the scheduler as gone, 1.75 s after the scheduler's last message.
 #[test]
-fn placed_by_a_scheduler_that_ended_is_recalled_within_the_limit() {
+fn request_placed_by_a_crashed_scheduler_is_recalled_within_the_limit() {
     for scheduler_ends in [false, true] {
-        let mut site = Site::new(9, &[("e-1", OLD)]);
+        let mut site = Site::new(9, &[("e-1", OLD_ENGINE)]);
         for daemon in &mut site.daemons {
-            daemon.hear_store(site.now);
-            daemon.put(site.now, Topic::Operator, &[("version/m", "weights 2")]);
+            daemon.finish_empty_read(site.now);
+            daemon.deliver_records(site.now, Topic::Operator, &[("version/m", "weights 2")]);
         }
         let named_at = site.now;
-        site.pass(ms(5_300));
-        let (other, scheduler) = (site.other(), site.scheduler("engines"));
+        site.advance(ms(5_300));
+        let (other, scheduler) = (site.non_scheduler(), site.scheduler("engines"));
         let key = site.arrive(other, "engines", Repeat::AtMostOnce);
-        assert_eq!(site.sent(other, key).weights_version, Some(1));
-        site.pass(named_at + ms(7_400) - site.now);
+        assert_eq!(site.only_dispatch(other, key).weights_version, Some(1));
+        site.advance(named_at + ms(7_400) - site.now);
         if scheduler_ends {
             site.down.insert(scheduler);
         }
-        site.pass(named_at + POLICY.weights_limit - site.now);
-        let told = site.commands(other, key);
-        let given_up = told.iter().any(|command| matches!(command, Command::GiveUp));
-        assert!(given_up, "the scheduler ends: {scheduler_ends}; {told:?}");
+        site.advance(named_at + POLICY.weights_limit - site.now);
+        let commands = site.commands(other, key);
+        let given_up = commands.iter().any(|command| matches!(command, Command::GiveUp));
+        assert!(given_up, "the scheduler crashes: {scheduler_ends}; {commands:?}");
     }
 }
 
-// The store takes 1.5 s for an answer. A read that it looked at at 4.0 s finds nothing; weights are named at 4.1 s; the
-// next read, asked as the answer came at 5.5 s, brings them at 7.0 s. Every daemon reads on, and takes them for named
-// then, though all that it knows is that they were not named at 4.0 s.
+// The store takes 1.5 s to answer. A read that it evaluates at 4.0 s finds nothing, and weights are named at 4.1 s. The
+// next read starts with that answer at 5.5 s and returns them at 7.0 s. Every daemon takes them for named then, though
+// it only knows that they were not named at 4.0 s.
 #[test]
-fn named_while_the_store_answers_late() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
+fn weights_named_while_the_store_answers_late_expire_in_time() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD_ENGINE)]);
     let named_at = ms(4_100);
     let end = daemon.node.end_offset(Topic::Operator);
     let read = |asked, to, records| {
@@ -187,18 +200,23 @@
     }
     let sent = send(&mut daemon, ms(12_400)).1;
     let believed = daemon.node.superseded_for(ms(12_400), "m", 1);
-    assert_eq!(sent, None, "{:?} after the naming, believed {believed:?}", ms(12_400) - named_at);
+    assert_eq!(
+        sent,
+        None,
+        "{:?} after the naming, believed age {believed:?}",
+        ms(12_400) - named_at
+    );
 }
 
-// The store answers slowly. A peer's read, asked at 4.0 s, finds nothing new and is answered at 5.5 s; the peer tells
-// that what it has read is as old as the answer. A daemon that hears it takes nothing for missed until 5.5 s, and the
-// weights that it hears of at 7.4 s for named then. They were named at 4.1 s.
+// The store answers slowly. A peer's read starts at 4.0 s, finds nothing new and is answered at 5.5 s; the peer reports
+// its records as current at 5.5 s. A daemon that receives this report assumes that it missed nothing until 5.5 s, and
+// takes weights received at 7.4 s for named then. They were named at 4.1 s.
 #[test]
-fn contact_through_a_peer_counts_from_when_the_peer_asked() {
-    let mut daemon = Daemon::with(1, &[("e-1", OLD)]);
-    daemon.put(ms(0), Topic::Routers, &[("router-2", "router 2")]);
-    let mut peer = Daemon::with(2, &[]);
-    peer.put(ms(0), Topic::Routers, &[("router-1", "router 1")]);
+fn contact_through_a_peer_counts_from_the_start_of_its_read() {
+    let mut daemon = Daemon::with_servers(1, &[("e-1", OLD_ENGINE)]);
+    daemon.deliver_records(ms(0), Topic::Routers, &[("router-2", "router 2")]);
+    let mut peer = Daemon::with_servers(2, &[]);
+    peer.deliver_records(ms(0), Topic::Routers, &[("router-1", "router 1")]);
     for time in (0..=5_400).step_by(50) {
         peer.tick(ms(time));
         for frame in digests(daemon.tick(ms(time))) {
@@ -215,19 +233,24 @@
     let read = Read { batch, is_snapshot: false, current_at: ms(4_000) };
     peer.node.apply(ms(5_500), Message::Read(read));
     for time in (5_550..7_400).step_by(50) {
-        let told = digests(peer.tick(ms(time)));
-        for frame in told.into_iter().filter(|_| time < 6_000) {
+        let frames = digests(peer.tick(ms(time)));
+        for frame in frames.into_iter().filter(|_| time < 6_000) {
             daemon.node.apply(ms(time), Message::Frame(frame));
         }
         for frame in digests(daemon.tick(ms(time))) {
             peer.node.apply(ms(time), Message::Frame(frame));
         }
     }
-    daemon.put(ms(7_400), Topic::Operator, &[("version/m", "weights 2")]);
+    daemon.deliver_records(ms(7_400), Topic::Operator, &[("version/m", "weights 2")]);
     for time in (7_400..12_800).step_by(50) {
         daemon.tick(ms(time));
     }
     let sent = send(&mut daemon, ms(12_800)).1;
     let believed = daemon.node.superseded_for(ms(12_800), "m", 1);
-    assert_eq!(sent, None, "{:?} after the naming, believed {believed:?}", ms(12_800) - named_at);
+    assert_eq!(
+        sent,
+        None,
+        "{:?} after the naming, believed age {believed:?}",
+        ms(12_800) - named_at
+    );
 }
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! The fold over the ledger stream, from any records.
+//! Tests of the fold over arbitrary records, and of the limit on abandoned claims.
 
 use quickcheck::quickcheck;
 
@@ -12,7 +12,7 @@
     ClaimId { daemon: "router-0".into(), incarnation: 1, sequence: number.into() }
 }
 
-/// One of the four kinds of entry, for one of a few keys and claims.
+/// Builds an entry of one of four kinds, for one of three keys and four claims.
 fn entry(kind: u8, which: u8, claim: u8) -> Entry {
     let (id, key) = (id(claim % 4), key(which % 3));
     match kind % 4 {
@@ -31,14 +31,15 @@
     let mut pending = Pending::new("router-0".into(), 1);
     for number in 0..20_000 {
         let request = crate::attempt::Key(number);
-        pending.claim(request, &Ask { key: key(0), digest: "d".into(), window_s: 10 });
-        // It is on its way, so that it can't be taken back.
+        pending.claim(request, &Proposal { key: key(0), digest: "d".into(), window_s: 10 });
+        // An append that may have succeeded makes the claim impossible to withdraw.
         let now = std::time::Duration::from_secs(number);
-        let (append, _) = pending.flush(now).expect("one is due");
-        pending.failed(now, append, true);
+        let (append, _) =
+            pending.next_append(now).expect("the queued claim must be due for append");
+        pending.append_failed(now, append, true);
         pending.abandon(request);
     }
-    assert_eq!(pending.abandoned.len(), super::pending::MAX_ABANDONED);
+    assert_eq!(pending.abandoned.len(), super::pending::MAX_ABANDONED_CLAIMS);
 }
 
 quickcheck! {
@@ -52,22 +53,22 @@
         state.next() == texts.len() as u64 && state.is_empty() && !folded.contains(&true)
     }
 
-    /// A key that is done stays done with the same receipt until its window ends.
-    fn fold_never_takes_back(entries: Vec<(u8, u8, u8)>) -> bool {
+    /// A done key keeps its receipt until its window ends.
+    fn fold_done_stays_done(entries: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let mut done: std::collections::BTreeMap<Key, Slot> = std::collections::BTreeMap::new();
         entries.iter().enumerate().all(|(offset, (kind, which, claim))| {
             state.fold(offset as u64, 0, &Batch::new(vec![entry(*kind, *which, *claim)]).encode());
             let kept = done.iter().all(|(key, slot)| state.get(key) == Some(slot));
-            for (key, slot) in state.iter().filter(|(_, s)| matches!(s.found, Found::Done(_))) {
+            for (key, slot) in state.iter().filter(|(_, s)| matches!(s.status, Status::Done(_))) {
                 done.insert(key.clone(), slot.clone());
             }
             kept
         })
     }
 
-    /// A state rebuilt from its slots folds on as the one that it was taken from.
-    fn rebuild_folds_on(before: Vec<(u8, u8, u8)>, after: Vec<(u8, u8, u8)>) -> bool {
+    /// A state rebuilt from slots folds further records like the original.
+    fn rebuild_folds_like_original(before: Vec<(u8, u8, u8)>, after: Vec<(u8, u8, u8)>) -> bool {
         let mut state = State::default();
         let record = |entries: &[(u8, u8, u8)]| {
             Batch::new(entries.iter().map(|(k, w, c)| entry(*k, *w, *c)).collect()).encode()
--- a/src/relay/conn.rs
+++ b/src/relay/conn.rs
@@ -1,4 +1,4 @@
-//! One TCP connection with the bytes that were read ahead.
+//! A TCP connection with a read-ahead buffer.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -11,30 +11,30 @@
 
 use super::{Decoder, Framing, Malformed, Request, Response};
 
-/// Bytes that one read takes at most.
-const READ_BYTES: usize = 16 << 10;
-/// Bytes of the head of a backend server's answer.
-const MAX_ANSWER_HEAD: usize = 64 << 10;
-/// Bytes that a caller may send ahead while its answer is awaited.
-const MAX_AHEAD: usize = 64 << 10;
-/// Silence after which the kernel asks whether the other end is there, in whole seconds.
+/// Maximum number of bytes per read.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Maximum size of the head of a backend server's answer.
+const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
+/// Maximum number of bytes buffered from a caller that waits for its answer.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// Idle time before the first TCP keep-alive probe and interval between probes, in whole seconds.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Unanswered questions after which a connection fails, a second apart.
-const KEEPALIVE_COUNT: u32 = 3;
-/// Milliseconds for which sent bytes may stay unacknowledged: several retransmissions on a lossy
-/// link, and well under the time that a caller waits.
+/// Number of unanswered keep-alive probes after which a connection fails.
+const KEEPALIVE_PROBES: u32 = 3;
+/// Time that sent bytes may stay unacknowledged. Allows several retransmissions on a lossy link and
+/// is well below the time that a caller waits.
 const USER_TIMEOUT_MS: u32 = 2_000;
 
-/// Why a message could not be read to its end.
+/// Error in reading a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Cut {
     /// The connection ended before the first byte of a message.
     Closed,
     /// The connection ended or failed within a message.
     Broken(String),
-    /// What came is no message of the protocol.
+    /// The received bytes are not a valid message.
     Malformed(String),
-    /// The message is larger than it may be.
+    /// The message is larger than the limit.
     TooLarge,
 }
 
@@ -50,38 +50,38 @@
     }
 }
 
-/// One connection.
+/// A TCP connection.
 #[derive(Debug)]
 pub struct Conn {
     stream: Arc<Async<TcpStream>>,
-    /// Bytes that were read and not yet used.
-    ahead: Vec<u8>,
+    /// Bytes that were read and not yet consumed.
+    read_ahead: Vec<u8>,
 }
 
 impl Conn {
-    /// Takes over `stream`, and has the kernel notice an other end that has vanished.
+    /// Wraps `stream` and enables the kernel's detection of an unreachable peer.
     pub fn new(stream: Async<TcpStream>) -> Self {
         let socket = stream.get_ref();
         socket.set_nodelay(true).ok();
         sockopt::set_socket_keepalive(socket, true).ok();
         sockopt::set_tcp_keepidle(socket, KEEPALIVE_IDLE).ok();
         sockopt::set_tcp_keepintvl(socket, KEEPALIVE_IDLE).ok();
-        sockopt::set_tcp_keepcnt(socket, KEEPALIVE_COUNT).ok();
+        sockopt::set_tcp_keepcnt(socket, KEEPALIVE_PROBES).ok();
         sockopt::set_tcp_user_timeout(socket, USER_TIMEOUT_MS).ok();
-        Self { stream: Arc::new(stream), ahead: Vec::new() }
+        Self { stream: Arc::new(stream), read_ahead: Vec::new() }
     }
 
-    /// Connects to `address` within `limit`.
-    pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
+    /// Connects to `address` within `timeout`.
+    pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let connect = Async::<TcpStream>::connect(address);
         let expire = async {
-            Timer::after(limit).await;
+            Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         Ok(Self::new(connect.or(expire).await?))
     }
 
-    /// The stream, for writing while the connection is read.
+    /// Returns the stream, for writing while the connection is being read.
     pub fn writer(&self) -> Arc<Async<TcpStream>> {
         Arc::clone(&self.stream)
     }
@@ -91,87 +91,87 @@
         (&mut &*self.stream).write_all(bytes).await
     }
 
-    /// Whether bytes or the end of the connection have come that nobody asked for. Only looks; an
-    /// idle connection that is not silent can't be used.
-    pub fn is_disturbed(&self) -> bool {
+    /// Returns whether an idle connection has received bytes or was closed, without consuming
+    /// anything. Such a connection cannot be reused.
+    pub fn has_unexpected_input(&self) -> bool {
         let mut byte = [0];
         let peeked = self.stream.get_ref().peek(&mut byte);
         let silent = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        !self.ahead.is_empty() || !silent
+        !self.read_ahead.is_empty() || !silent
     }
 
-    /// Reads more bytes; how many, 0 at the end of the connection.
+    /// Reads more bytes into the buffer. Returns their number, or 0 at the end of the connection.
     async fn fill(&mut self) -> io::Result<usize> {
-        let start = self.ahead.len();
-        self.ahead.resize(start + READ_BYTES, 0);
-        let read = (&mut &*self.stream).read(&mut self.ahead[start..]).await;
-        self.ahead.truncate(start + read.as_ref().copied().unwrap_or(0));
+        let start = self.read_ahead.len();
+        self.read_ahead.resize(start + READ_CHUNK_BYTES, 0);
+        let read = (&mut &*self.stream).read(&mut self.read_ahead[start..]).await;
+        self.read_ahead.truncate(start + read.as_ref().copied().unwrap_or(0));
         read
     }
 
-    /// Waits until a byte has come; false where the connection ended first.
-    pub async fn has_begun(&mut self) -> bool {
-        !self.ahead.is_empty() || matches!(self.fill().await, Ok(1..))
+    /// Waits for the first byte. Returns false if the connection ended instead.
+    pub async fn wait_for_data(&mut self) -> bool {
+        !self.read_ahead.is_empty() || matches!(self.fill().await, Ok(1..))
     }
 
-    /// Waits until the other end has gone, and keeps what it sends meanwhile. Ends never for one
-    /// that sends more than may be kept.
-    pub async fn gone(&mut self) {
+    /// Waits until the peer disconnects and buffers what it sends meanwhile. Never returns once the
+    /// buffer exceeds its limit.
+    pub async fn wait_for_disconnect(&mut self) {
         let mut chunk = vec![0; 4_096];
         loop {
-            if self.ahead.len() > MAX_AHEAD {
+            if self.read_ahead.len() > MAX_READ_AHEAD_BYTES {
                 std::future::pending::<()>().await;
             }
             match (&mut &*self.stream).read(&mut chunk).await {
                 Ok(0) | Err(_) => return,
-                Ok(count) => self.ahead.extend_from_slice(&chunk[..count]),
+                Ok(count) => self.read_ahead.extend_from_slice(&chunk[..count]),
             }
         }
     }
 
-    /// Reads the head of a request of at most `limit` bytes.
+    /// Reads a request head of at most `limit` bytes.
     pub async fn read_request(&mut self, limit: usize) -> Result<Request, Cut> {
         loop {
-            if let Some((request, length)) = Request::parse(&self.ahead)? {
+            if let Some((request, length)) = Request::parse(&self.read_ahead)? {
                 if length > limit {
                     return Err(Cut::TooLarge);
                 }
-                self.ahead.drain(..length);
+                self.read_ahead.drain(..length);
                 return Ok(request);
             }
-            self.more(limit).await?;
+            self.read_more_head(limit).await?;
         }
     }
 
-    /// Reads the head of an answer, past those that only announce it.
-    pub async fn read_response(&mut self, to_head: bool) -> Result<Response, Cut> {
+    /// Reads the head of the final answer and skips informational (1xx) ones.
+    pub async fn read_response(&mut self, answers_head: bool) -> Result<Response, Cut> {
         loop {
-            match Response::parse(&self.ahead, to_head)? {
+            match Response::parse(&self.read_ahead, answers_head)? {
                 Some((response, length)) => {
-                    self.ahead.drain(..length);
+                    self.read_ahead.drain(..length);
                     if response.status >= 200 {
                         return Ok(response);
                     }
                 }
-                None => self.more(MAX_ANSWER_HEAD).await?,
+                None => self.read_more_head(MAX_ANSWER_HEAD_BYTES).await?,
             }
         }
     }
 
-    /// Reads more of a head that may have `limit` bytes.
-    async fn more(&mut self, limit: usize) -> Result<(), Cut> {
-        if self.ahead.len() > limit {
+    /// Reads more of a head of at most `limit` bytes.
+    async fn read_more_head(&mut self, limit: usize) -> Result<(), Cut> {
+        if self.read_ahead.len() > limit {
             return Err(Cut::TooLarge);
         }
         match self.fill().await? {
-            0 if self.ahead.is_empty() => Err(Cut::Closed),
+            0 if self.read_ahead.is_empty() => Err(Cut::Closed),
             0 => Err(Cut::Broken("the connection ended within a head".into())),
             _ => Ok(()),
         }
     }
 
-    /// Appends the bytes of a body that have come to `output`, and waits for some where none have;
-    /// false once the body is complete.
+    /// Waits for body bytes and appends them to `output`. Returns false if the body was already
+    /// complete or ended with the connection.
     pub async fn read_body(
         &mut self,
         decoder: &mut Decoder,
@@ -182,13 +182,13 @@
         }
         let before = output.len();
         loop {
-            let used = decoder.decode(&self.ahead, output)?;
-            self.ahead.drain(..used);
+            let used = decoder.decode(&self.read_ahead, output)?;
+            self.read_ahead.drain(..used);
             if output.len() > before || decoder.is_complete() {
                 return Ok(true);
             }
             if self.fill().await? == 0 {
-                return match decoder.ends_with_connection() {
+                return match decoder.completes_on_close() {
                     true => Ok(false),
                     false => Err(Cut::Broken("the connection ended within a body".into())),
                 };
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Reads a whole body of at most `limit` bytes.
+    /// Reads a complete body of at most `limit` bytes.
     pub async fn read_whole(&mut self, framing: Framing, limit: usize) -> Result<Vec<u8>, Cut> {
         if matches!(framing, Framing::Length(length) if length > limit as u64) {
             return Err(Cut::TooLarge);
--- a/src/relay/events.rs
+++ b/src/relay/events.rs
@@ -1,29 +1,29 @@
-//! Event streams cut into whole events, so that one can be continued after any of them.
+//! Splitting of event streams into complete events, so that a stream can resume after any event.
 
-/// The events of one answer, over all the runs that it is made from.
+/// The events of one answer across all attempts that contribute to it.
 #[derive(Debug, Default)]
 pub struct Events {
-    /// The beginning of an event whose end has not come.
+    /// The start of an incomplete event.
     partial: Vec<u8>,
-    /// The id of the last whole event.
-    last: Option<u64>,
+    /// The id of the last complete event.
+    last_id: Option<u64>,
 }
 
 impl Events {
-    /// The events of an answer to a caller who has those up to `last`.
-    pub fn after(last: Option<u64>) -> Self {
-        Self { partial: Vec::new(), last }
+    /// Creates the state for a caller that already has the events up to `last_id`.
+    pub fn after(last_id: Option<u64>) -> Self {
+        Self { partial: Vec::new(), last_id }
     }
 
-    /// Takes bytes as they come; returns those of the whole events among them. Events whose ids
-    /// are not above the last one were passed on before, and are left out.
+    /// Adds received bytes and returns the events that are now complete. Events with an id not above
+    /// the last one were forwarded before and are dropped.
     ///
     /// ```
     /// let mut events = cardamomvalve::relay::Events::default();
-    /// assert_eq!(events.take(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
-    /// assert_eq!(events.last(), Some(1));
+    /// assert_eq!(events.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
+    /// assert_eq!(events.last_id(), Some(1));
     /// ```
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<u8> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Vec<u8> {
         let scanned = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
         let mut whole = Vec::new();
@@ -32,10 +32,10 @@
         while let Some(end) = event_end(&self.partial, from) {
             let event = &self.partial[start..end];
             let id = event_id(event);
-            let repeated = id.is_some_and(|id| self.last.is_some_and(|last| id <= last));
+            let repeated = id.is_some_and(|id| self.last_id.is_some_and(|last| id <= last));
             if !repeated {
                 whole.extend_from_slice(event);
-                self.last = id.or(self.last);
+                self.last_id = id.or(self.last_id);
             }
             start = end;
             from = end;
@@ -44,23 +44,23 @@
         whole
     }
 
-    /// Bytes after the last whole event; they belong to none.
-    pub fn rest(&mut self) -> Vec<u8> {
+    /// Takes the bytes after the last complete event.
+    pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial)
     }
 
-    /// The id of the last whole event.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// Returns the id of the last complete event.
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Forgets a partial event: the next run begins it anew.
-    pub fn restart(&mut self) {
+    /// Discards an incomplete event; the next attempt sends it again from its start.
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// Where the first event at or after `from` ends: past its empty line.
+/// Finds the end of an event, just past its empty line, by a search that starts at `from`.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while at < bytes.len() {
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -1,6 +1,6 @@
-//! Heads, bodies and events, whole and cut anywhere.
+//! Tests of heads, bodies and events, complete and split at any byte.
 
-mod passage;
+mod delivery;
 
 use super::*;
 
@@ -14,7 +14,7 @@
     let (head, length) = request(text).expect("well-formed").expect("complete");
     assert_eq!((head.method.as_str(), head.path()), ("POST", "/a/b"));
     assert_eq!(head.target, "/a/b?c=1");
-    assert_eq!((head.framing, head.keep), (Framing::Length(3), true));
+    assert_eq!((head.framing, head.keep_alive), (Framing::Length(3), true));
     assert_eq!(&text[length..], "abc");
 }
 
@@ -60,8 +60,8 @@
     assert_eq!(framing("Content-Length: 7\r\n").framing, Framing::Length(7));
     assert_eq!(framing("Transfer-Encoding: chunked\r\n").framing, Framing::Chunked);
     let unframed = framing("");
-    assert_eq!((unframed.framing, unframed.keep), (Framing::UntilClose, false));
-    assert!(!framing("Content-Length: 7\r\nConnection: close\r\n").keep);
+    assert_eq!((unframed.framing, unframed.keep_alive), (Framing::UntilClose, false));
+    assert!(!framing("Content-Length: 7\r\nConnection: close\r\n").keep_alive);
 }
 
 #[test]
@@ -105,21 +105,21 @@
     assert!(decoder.is_complete());
 }
 
-/// Feeds `wire` in pieces that end at `cuts`; returns what was decoded and what was left over.
-fn in_pieces(framing: Framing, wire: &[u8], cuts: &[usize]) -> (Vec<u8>, Vec<u8>, bool) {
+/// Decodes `wire` in pieces that end at `cuts`. Returns the body, the bytes left over and whether the body is complete.
+fn decode_in_pieces(framing: Framing, wire: &[u8], cuts: &[usize]) -> (Vec<u8>, Vec<u8>, bool) {
     let mut decoder = Decoder::new(framing);
-    let (mut output, mut ahead) = (Vec::new(), Vec::new());
+    let (mut output, mut remaining) = (Vec::new(), Vec::new());
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (wire.len() + 1)).collect();
     ends.push(wire.len());
     ends.sort_unstable();
     let mut start = 0;
     for end in ends {
-        ahead.extend_from_slice(&wire[start..end]);
+        remaining.extend_from_slice(&wire[start..end]);
         start = end;
-        let used = decoder.decode(&ahead, &mut output).expect("well-formed");
-        ahead.drain(..used);
+        let used = decoder.decode(&remaining, &mut output).expect("well-formed");
+        remaining.drain(..used);
     }
-    (output, ahead, decoder.is_complete())
+    (output, remaining, decoder.is_complete())
 }
 
 quickcheck::quickcheck! {
@@ -131,26 +131,26 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\n\r\nnext");
-        let (output, rest, complete) = in_pieces(Framing::Chunked, &wire, &cuts);
+        let (output, rest, complete) = decode_in_pieces(Framing::Chunked, &wire, &cuts);
         output == chunks.concat() && rest == b"next" && complete
     }
 
     fn decode_length_in_any_pieces(body: Vec<u8>, cuts: Vec<usize>) -> bool {
         let wire = [body.as_slice(), b"next"].concat();
         let framing = Framing::Length(body.len() as u64);
-        let (output, rest, complete) = in_pieces(framing, &wire, &cuts);
+        let (output, rest, complete) = decode_in_pieces(framing, &wire, &cuts);
         output == body && rest == b"next" && complete
     }
 
     fn parse_any_bytes(bytes: Vec<u8>) -> bool {
-        // None of them may panic, whatever the bytes.
+        // No parser may panic on any input.
         let request = Request::parse(&bytes);
         let response = Response::parse(&bytes, false);
         let chunks = Decoder::new(Framing::Chunked).decode(&bytes, &mut Vec::new());
         request.is_err() || response.is_err() || chunks.is_err() || bytes.len() < usize::MAX
     }
 
-    fn take_events_in_any_pieces(count: u8, cuts: Vec<usize>) -> bool {
+    fn feed_events_in_any_pieces(count: u8, cuts: Vec<usize>) -> bool {
         let wire: String =
             (1..=count).map(|id| format!("id: {id}\r\ndata: {id}\r\n\r\n")).collect();
         let wire = wire.into_bytes();
@@ -160,33 +160,33 @@
         ends.sort_unstable();
         let (mut output, mut start) = (Vec::new(), 0);
         for end in ends {
-            output.extend(events.take(&wire[start..end]));
+            output.extend(events.feed(&wire[start..end]));
             start = end;
         }
-        output == wire && events.rest().is_empty()
-            && events.last() == (count > 0).then_some(u64::from(count))
+        output == wire && events.take_partial().is_empty()
+            && events.last_id() == (count > 0).then_some(u64::from(count))
     }
 }
 
 #[test]
-fn take_resumed_stream_drops_what_was_passed_on() {
+fn feed_resumed_stream_drops_repeated_events() {
     let mut events = Events::default();
-    assert_eq!(events.take(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
-    // The server broke off within the second event; another one goes on after the first.
-    events.restart();
+    assert_eq!(events.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n");
+    // The server disconnected within the second event; another one resumes after the first.
+    events.discard_partial();
     let resumed = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-    assert_eq!(events.take(resumed), b"id: 2\ndata: b\n\n");
-    assert_eq!(events.last(), Some(2));
+    assert_eq!(events.feed(resumed), b"id: 2\ndata: b\n\n");
+    assert_eq!(events.last_id(), Some(2));
 }
 
 #[test]
 fn after_caller_has_some_events() {
     let mut events = Events::after(Some(4));
-    assert_eq!(events.take(b"id: 4\n\nid: 5\n\n"), b"id: 5\n\n");
+    assert_eq!(events.feed(b"id: 4\n\nid: 5\n\n"), b"id: 5\n\n");
 }
 
 quickcheck::quickcheck! {
-    /// A head that is mutated anywhere is refused, or is one request whose parts can't end a line early.
+    /// A mutated head is rejected or parses to one request without line breaks in its parts.
     fn parse_mutated_heads_hide_no_second_request(changes: Vec<(usize, u8)>, inserts: Vec<(usize, u8)>) -> bool {
         let text = "POST /a/b?c=1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: 7\r\n\
                     Content-Length: 3\r\nConnection: keep-alive\r\n\r\nabc";
@@ -210,20 +210,21 @@
     }
 }
 
-/// A server that ends accepts a look and resets it before it stops to listen. Its end counted for nothing while the store
-/// was down, since a reset passed for silence, after which only the store tells.
+/// A stopping server accepts a probe and resets it before it stops listening. If a reset counts as silence, only the
+/// store can confirm the crash, so a crash while the store is down is ignored.
 ///
 /// ```text
 /// 06.995 400 AttemptFailed r-3 no whole answer came: its connection ended server=x-1
 /// 07.400 400 AttemptFailed r-4 it could not be connected to server=x-1
 /// ```
 #[test]
-fn probe_that_is_reset_by_a_server_that_ends_is_taken_again() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("it is bound");
+fn probe_reset_by_stopping_server_is_not_silent() {
+    let listener =
+        std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     let mut probe = Box::pin(probe(address));
     let first = futures_lite::future::block_on(futures_lite::future::poll_once(&mut probe));
-    assert_eq!(first, None, "it is under way");
+    assert_eq!(first, None, "the probe is in progress");
     drop(listener);
     let answer = futures_lite::future::block_on(probe);
     assert_ne!(answer, crate::poison::Answer::Silent);
--- /dev/null
+++ b/src/relay/tests/delivery.rs
@@ -0,0 +1,276 @@
+//! Tests of a caller's connection; each test acts as the control thread.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::thread;
+
+use async_channel::{Receiver, Sender};
+use async_io::{Async, block_on};
+
+use crate::fleet::{Arrival, Command, Control, Dispatch, Input, Loss, Message, Report};
+use crate::prelude::*;
+use crate::relay::*;
+use crate::route::{Limits, Repeat, Route, Split, Table, Workspace};
+use crate::telemetry::metrics::Metrics;
+
+/// Size of an answer that exceeds the socket buffers, so that writing it blocks part way.
+const LARGE_BYTES: usize = 6 << 20;
+
+/// Dialect with almost no header fields.
+struct PlainDialect;
+
+impl Dialect for PlainDialect {
+    fn metadata(&self, _: &Request) -> Result<Metadata, Malformed> {
+        Ok(Metadata {
+            id: "r-1".into(),
+            timeout: None,
+            workspace_key: None,
+            prompt: None,
+            last_event_id: None,
+        })
+    }
+
+    fn forwarded_fields(
+        &self,
+        _: &Request,
+        _: &Metadata,
+        _: Option<&Workspace>,
+        _: &Dispatch,
+        _: Option<Duration>,
+        after: Option<u64>,
+    ) -> Fields {
+        let mut fields = Fields::default();
+        if let Some(after) = after {
+            fields.push("Last-Event-Id", after.to_string());
+        }
+        fields
+    }
+
+    fn classify(&self, _: &Metadata, _: &Response) -> Classification {
+        Classification::Answer(None)
+    }
+
+    fn error_fields(&self, _: &Metadata) -> Fields {
+        Fields::default()
+    }
+}
+
+fn table(streams: bool) -> Arc<Table> {
+    let route = Route {
+        name: "only".into(),
+        host: "a.example".into(),
+        prefix: "/".into(),
+        repeat: Repeat::Resumable,
+        streams,
+        timeout: Duration::from_secs(20),
+        target: Duration::from_secs(1),
+        priority: 0,
+        splits: vec![Split { pool: "engines".into(), weight: 1 }],
+        attempts: 2,
+        public: true,
+    };
+    let table = Table::new(1, vec![route], BTreeMap::new(), Vec::new(), Limits::default());
+    Arc::new(table.expect("the table is valid"))
+}
+
+/// Starts a server that answers the first request of each connection according to its head.
+fn serve_each(answer: impl Fn(&str) -> Vec<u8> + Send + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener is bound");
+    thread::spawn(move || {
+        for stream in listener.incoming() {
+            let Ok(mut stream) = stream else { return };
+            let mut head = [0; 4_096];
+            let read = stream.read(&mut head).expect("a request arrives");
+            assert!(head[..read].ends_with(b"\r\n\r\n"), "the head arrives in one read");
+            let head = String::from_utf8_lossy(&head[..read]).into_owned();
+            stream.write_all(&answer(&head)).ok();
+        }
+    });
+    address
+}
+
+/// Starts a server that answers the first request of each connection with `answer`.
+fn serve_once(answer: Vec<u8>) -> SocketAddr {
+    serve_each(move |_| answer.clone())
+}
+
+/// Starts a server that streams the `events` after the one in the request's `Last-Event-Id`.
+fn serve_stream(events: &[&'static str]) -> SocketAddr {
+    let events = events.to_vec();
+    serve_each(move |head| {
+        let after = head.lines().find_map(|line| line.strip_prefix("Last-Event-Id: "));
+        let after: usize =
+            after.map_or(0, |after| after.trim().parse().expect("the id is a number"));
+        let body = events[after..].concat();
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    })
+}
+
+fn dispatch(attempt: u32, address: SocketAddr) -> Command {
+    Command::Dispatch(Dispatch {
+        attempt,
+        server: format!("s-{attempt}"),
+        address,
+        cache_salt: None,
+        weights_version: None,
+        fetch_from: None,
+        save_to: None,
+        priority: 5,
+        max_idle: 4,
+    })
+}
+
+fn large_answer(streams: bool, character: char) -> Vec<u8> {
+    let piece = character.to_string().repeat(LARGE_BYTES);
+    let body = if streams { format!("id: 1\ndata: {piece}\n\n") } else { piece };
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+/// A caller's connection and the control thread's end of its channel.
+struct Fixture {
+    frontend: Arc<Frontend>,
+    caller: TcpStream,
+    inputs: Receiver<Input>,
+}
+
+impl Fixture {
+    fn start(streams: bool) -> Self {
+        let (control, inputs) = Control::new();
+        control.set_table(table(streams));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+        let caller = TcpStream::connect(listener.local_addr().expect("the listener is bound"));
+        let mut caller = caller.expect("the listener accepts connections");
+        let (stream, _) = listener.accept().expect("the caller has connected");
+        let (shutdown_sender, shutdown) = async_channel::bounded(1);
+        let metrics = Arc::new(Metrics::new().expect("instruments can be created"));
+        let frontend =
+            Frontend::new(Arc::new(PlainDialect), control, Arc::default(), metrics, shutdown);
+        let frontend = Arc::new(frontend);
+        let serving = Arc::clone(&frontend);
+        thread::spawn(move || {
+            let stream = Async::new(stream).expect("the stream can be polled");
+            block_on(serve(serving, stream));
+            drop(shutdown_sender);
+        });
+        caller
+            .write_all(b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n")
+            .expect("the connection is open");
+        Self { frontend, caller, inputs }
+    }
+
+    fn receive_arrival(&self) -> (Box<Arrival>, Sender<Command>) {
+        match self.inputs.recv_blocking() {
+            Ok(Input::Open(arrival, commands)) => (arrival, commands),
+            other => panic!("expected a request: {other:?}"),
+        }
+    }
+
+    fn receive_report(&self) -> (u32, Report) {
+        match self.inputs.recv_blocking() {
+            Ok(Input::Message(message)) => match *message {
+                Message::Report { attempt, report, .. } => (attempt, report),
+                other => panic!("expected a report: {other:?}"),
+            },
+            other => panic!("expected a report: {other:?}"),
+        }
+    }
+
+    /// Waits until a byte of the answer has reached the caller, without reading it.
+    fn wait_for_answer(&self) {
+        let mut byte = [0];
+        assert_eq!(self.caller.peek(&mut byte).expect("the connection is open"), 1);
+    }
+
+    /// Reads the answer's complete body.
+    fn body(&mut self) -> Vec<u8> {
+        let mut conn = Conn::new(Async::new(self.caller.try_clone().expect("open")).expect("open"));
+        block_on(async {
+            let response = conn.read_response(false).await.expect("a head arrives");
+            conn.read_whole(response.framing, 4 * LARGE_BYTES)
+                .await
+                .expect("a complete body arrives")
+        })
+    }
+}
+
+#[test]
+fn run_command_during_answer_write_does_not_interrupt_it() {
+    for streams in [true, false] {
+        for late in [false, true] {
+            let mut fixture = Fixture::start(streams);
+            let first = serve_once(large_answer(streams, 'a'));
+            let second = serve_once(large_answer(streams, 'b'));
+            let (_, commands) = fixture.receive_arrival();
+            commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
+            assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
+            fixture.wait_for_answer();
+            let command = if late { Command::GiveUp } else { dispatch(2, second) };
+            commands.try_send(command).expect("the command channel is open");
+            thread::sleep(Duration::from_millis(50));
+            let body = fixture.body();
+            assert!(body.len() >= LARGE_BYTES && !body.contains(&b'b'), "{streams} {late}");
+            assert_eq!(fixture.receive_report(), (1, Report::Ended));
+        }
+    }
+}
+
+#[test]
+fn run_deferred_command_applies_after_attempt_fails() {
+    let mut fixture = Fixture::start(true);
+    let mut cut = large_answer(true, 'a');
+    let length = cut.len() - cut.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") - 4;
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", length + 100);
+    cut = [head.as_bytes(), &cut[cut.len() - length..], b"id: 2\nda"].concat();
+    let first = serve_once(cut);
+    let rest = "id: 2\ndata: b\n\n";
+    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{rest}", rest.len());
+    let second = serve_once(whole.into_bytes());
+    let (_, commands) = fixture.receive_arrival();
+    commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
+    assert_eq!(fixture.receive_report(), (1, Report::Begun(None)));
+    fixture.wait_for_answer();
+    commands.try_send(dispatch(2, second)).expect("the command channel is open");
+    let body = fixture.body();
+    assert!(body.len() == length + rest.len() && body.ends_with(rest.as_bytes()));
+    assert_eq!(fixture.receive_report(), (1, Report::Lost(Loss::Connection)));
+    assert_eq!(fixture.receive_report(), (2, Report::Begun(None)));
+    assert_eq!(fixture.receive_report(), (2, Report::Ended));
+}
+
+#[test]
+fn relay_stream_cut_at_any_byte_resumes_without_gap_or_repeat() {
+    let events = ["id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n", "id: 3\ndata: c\n\n"];
+    let whole = events.concat();
+    let second = serve_stream(&events);
+    for cut in 0..whole.len() {
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
+        let first = serve_once(format!("{head}{}", &whole[..cut]).into_bytes());
+        let mut fixture = Fixture::start(true);
+        let (_, commands) = fixture.receive_arrival();
+        commands.try_send(dispatch(1, first)).expect("the delivery awaits a command");
+        while fixture.receive_report() != (1, Report::Lost(Loss::Connection)) {}
+        commands.try_send(dispatch(2, second)).expect("the delivery awaits a command");
+        assert_eq!(String::from_utf8_lossy(&fixture.body()), whole, "cut after {cut} bytes");
+    }
+}
+
+#[test]
+fn drain_waits_for_answers_to_refused_requests() {
+    let mut fixture = Fixture::start(true);
+    let (_, commands) = fixture.receive_arrival();
+    // The control thread has no open request, but the caller has no answer yet.
+    assert_eq!(fixture.frontend.control.open_requests(), 0);
+    assert_eq!(block_on(drain(&fixture.frontend, Duration::from_millis(50))), 1);
+    let Ok(Input::Message(message)) = fixture.inputs.recv_blocking() else {
+        panic!("expected a message")
+    };
+    assert_eq!(*message, Message::StopDeadline);
+    commands
+        .try_send(Command::Refuse(Code::NoServer, Duration::ZERO))
+        .expect("the delivery awaits a command");
+    assert_eq!(block_on(drain(&fixture.frontend, Duration::from_secs(20))), 0);
+    let mut answer = [0; 12];
+    fixture.caller.read_exact(&mut answer).expect("an answer arrives");
+    assert_eq!(&answer, b"HTTP/1.1 503");
+}
