--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,9 +1,9 @@
-//! The lease on the log: which daemon may order engines about, and with which fencing number.
+//! Lease on the log. It selects the daemon that may send orders to engines, and its fence.
 //!
-//! Each record names the last accepted one that its writer has read, and is accepted if and only if
-//! that is still the last: so a daemon that has not read a renewal can't take the lease past it. The
-//! fence is the offset of the record that took the lease. The holder stops early by its own clock;
-//! others take over only a whole [`Terms::ttl`] and [`Terms::margin`] after they read the last
+//! Each record names the last accepted record that its writer has read, and is accepted if and only
+//! if no other was accepted since. A daemon that has not read a renewal thus can't take the lease.
+//! The fence is the offset of the record that took the lease. The holder stops early by its own
+//! clock. Others take the lease only [`Terms::ttl`] plus [`Terms::margin`] after they read the last
 //! accepted record.
 
 mod record;
@@ -16,19 +16,19 @@
 
 use crate::prelude::*;
 
-/// The times of a lease.
+/// Durations of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Terms {
-    /// Time for which an accepted record holds the lease.
+    /// Time for which the lease lasts after an accepted record.
     pub ttl: Duration,
-    /// Time by which the holder stops early and others wait longer, for clocks that run apart.
+    /// Time by which the holder stops early and others wait longer, to allow for clock drift.
     pub margin: Duration,
     /// Time between two renewals.
     pub renewal_interval: Duration,
 }
 
 impl Terms {
-    /// Times for a log that answers within a second or so.
+    /// Durations for a log that answers within about a second.
     pub const DEFAULT: Self = Self {
         ttl: Duration::from_secs(5),
         margin: Duration::from_secs(1),
--- a/src/lease/record.rs
+++ b/src/lease/record.rs
@@ -2,42 +2,42 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the record's format.
+/// Version of the record format.
 const FORMAT: u32 = 1;
 
 /// One record of the lease stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Version of the format; 1.
+    /// Version of the format, 1.
     pub format: u32,
-    /// The daemon that wants the lease.
+    /// The daemon that requests the lease.
     pub daemon: String,
     /// The daemon's incarnation.
     pub incarnation: u64,
-    /// Counts the daemon's lease records.
+    /// Sequence number of the daemon's lease records.
     pub sequence: u64,
-    /// Offset of the last accepted record that the daemon has read; `None` before any.
+    /// Offset of the last accepted record that the daemon has read. `None` if there is none.
     pub after: Option<u64>,
-    /// What it wants.
+    /// The requested change.
     #[serde(flatten)]
     pub body: Body,
 }
 
-/// What a lease record wants.
+/// Change that a lease record requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Body {
-    /// The lease, from whoever held it.
+    /// Take the lease, whoever held it.
     Take,
-    /// The lease for longer.
+    /// Extend the lease.
     Renew {
-        /// The fence that it holds.
+        /// The holder's fence.
         fence: u64,
     },
 }
 
 impl Record {
-    /// A record of this daemon.
+    /// Creates a record of a daemon.
     pub fn new(
         daemon: &str,
         incarnation: u64,
@@ -53,7 +53,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a record; `None` where this release can't.
+    /// Decodes a record. Returns `None` if it is malformed or has another format.
     pub fn decode(text: &str) -> Option<Self> {
         let record: Self = serde_json::from_str(text).ok()?;
         (record.format == FORMAT).then_some(record)
--- a/src/lease/state.rs
+++ b/src/lease/state.rs
@@ -1,19 +1,19 @@
-//! The fold over the lease stream, and this daemon's own part in it.
+//! Lease state, folded from the lease stream, and the records that this daemon appends.
 
 use super::{Body, Record, Terms};
 use crate::prelude::*;
 
-/// Own records whose sending time is remembered.
+/// Maximum number of own records whose sending time is kept.
 const MAX_SENT_RECORDS: usize = 16;
 
-/// Who holds the lease, by the log's order.
+/// Holder of the lease, by the order of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
     /// The daemon.
     pub daemon: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The fencing number: the offset of the record that took the lease.
+    /// The fence, which is the offset of the record that took the lease.
     pub fence: u64,
 }
 
@@ -28,23 +28,23 @@
     next: u64,
     /// Offset of the last accepted record.
     last: Option<u64>,
-    /// The oldest offset that was read.
+    /// Offset of the first record since the last gap.
     first: u64,
-    /// Whether all records since the last forgotten one are known to have been judged as by all.
+    /// Whether the last accepted record is known to be the same as on all daemons.
     is_base_known: bool,
-    /// When the last accepted record was read.
+    /// Time when the last accepted record was read.
     read_at: Time,
-    /// When own records were sent, by sequence.
+    /// Times when own records were sent, by sequence number.
     sent: BTreeMap<u64, Time>,
     last_sent: Option<Time>,
-    /// Until when this daemon may act as the holder, by its own clock.
+    /// Time until which this daemon may act as the holder, by its own clock.
     holds_until: Time,
-    /// When this daemon read that it had taken the lease.
+    /// Time when this daemon read that it had taken the lease.
     taken_at: Time,
 }
 
 impl State {
-    /// The lease as seen by this daemon, which has read nothing yet.
+    /// Creates the state of a daemon that has read no records.
     pub fn new(daemon: String, incarnation: u64, terms: Terms) -> Self {
         Self {
             terms,
@@ -64,17 +64,17 @@
         }
     }
 
-    /// The offset of the next record to fold.
+    /// Offset of the next record to fold.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Who holds the lease, whether or not it has run out.
+    /// Holder of the lease, even if it has expired.
     pub fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
     }
 
-    /// Continues at `offset`, where the log no longer has what comes before it.
+    /// Continues at `offset` after the log has dropped all records before it.
     pub fn skip_to(&mut self, offset: u64) {
         if offset > self.next {
             self.next = offset;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Folds the record at `offset`, read now; `None` where it could not be read.
+    /// Folds the record at `offset`, read now. Returns `None` if it can't be decoded.
     pub fn fold(&mut self, now: Time, offset: u64, text: &str) -> Option<()> {
         if offset < self.next {
             return Some(());
@@ -113,9 +113,9 @@
         Some(())
     }
 
-    /// Whether the record follows the last accepted one. What a log has forgotten can't be compared:
-    /// until a record names one that was read, those that name a forgotten one are taken at their
-    /// word, since only a daemon that had accepted it would name it.
+    /// Whether the record follows the last accepted one. Until a record names one that this daemon has
+    /// read, records that name a dropped one are accepted too. Only a daemon that had accepted the
+    /// dropped record would name it.
     fn is_next(&self, record: &Record) -> bool {
         let forgotten = record.after.is_some_and(|after| after < self.first);
         record.after == self.last || (!self.is_base_known && forgotten)
@@ -125,21 +125,21 @@
         record.daemon == self.daemon && record.incarnation == self.incarnation
     }
 
-    /// The fencing number, while this daemon may act as the holder.
+    /// The fence, while this daemon may act as the holder.
     pub fn fence(&self, now: Time) -> Option<u64> {
         let holder = self.holder.as_ref()?;
         let is_holder = holder.daemon == self.daemon && holder.incarnation == self.incarnation;
         (is_holder && now < self.holds_until).then_some(holder.fence)
     }
 
-    /// Whether a whole [`Terms::ttl`] has passed since this daemon took the lease: a former holder that
-    /// engines would not refuse has stopped by then.
+    /// Whether [`Terms::ttl`] has passed since this daemon took the lease. By then, a former holder has
+    /// stopped even if engines don't refuse its fence.
     pub fn is_settled(&self, now: Time) -> bool {
         now >= self.taken_at + self.terms.ttl
     }
 
-    /// The record to append now, if one is due. `candidate` tells whether this daemon is the one
-    /// to take a lease that has run out.
+    /// The record to append now, if one is due. `is_candidate` is true if this daemon should take an
+    /// expired lease.
     pub fn due_record(&mut self, now: Time, is_candidate: bool) -> Option<Record> {
         if self.last_sent.is_some_and(|sent| now < sent + self.terms.renewal_interval) {
             return None;
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! The lease over seeded histories: never two holders, and fences that only grow.
+//! Tests of the lease. Seeded histories never have two holders, and fences never decrease.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 
 const DAEMON_COUNT: usize = 3;
 
-/// Daemons that send, lose, delay and pause; the log keeps an order.
+/// Runs daemons that pause and whose records may be lost or delayed.
 fn run_history(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut states: Vec<State> = (0..DAEMON_COUNT)
@@ -32,9 +32,9 @@
         if now < paused[index] {
             continue;
         }
-        // A holder that acts looks at its clock first; nobody else may act at the same time.
+        // A holder checks its clock before it acts. No other daemon may act at the same time.
         let holders: Vec<u64> = states.iter().filter_map(|state| state.fence(now)).collect();
-        assert!(holders.len() <= 1, "seed {seed}: {holders:?} hold the lease at once");
+        assert!(holders.len() <= 1, "seed {seed}: {holders:?} hold the lease at the same time");
         if let Some(fence) = holders.first() {
             held_count += 1;
             assert!(Some(*fence) >= max_fence, "seed {seed}: fence {fence} after {max_fence:?}");
@@ -54,12 +54,12 @@
             _ => {
                 let next = state.next() as usize;
                 for (offset, text) in log.iter().enumerate().skip(next).take(rng.usize(0..4)) {
-                    state.fold(now, offset as u64, text).expect("it is readable");
+                    state.fold(now, offset as u64, text).expect("the record is valid");
                 }
             }
         }
     }
-    assert!(held_count > 100, "seed {seed}: the lease was hardly ever held");
+    assert!(held_count > 100, "seed {seed}: the lease was held at 100 steps or fewer");
 }
 
 #[test]
@@ -73,12 +73,12 @@
 fn fence_of_paused_holder_expires_by_its_own_clock() {
     let mut state = State::new("router-0".into(), 1, Terms::DEFAULT);
     let start = Duration::from_secs(10);
-    let take = state.due_record(start, true).expect("nobody holds it");
+    let take = state.due_record(start, true).expect("the lease is free");
     state.fold(start, 0, &take.encode());
     assert_eq!(state.fence(start), Some(0));
     let early = start + TTL - MARGIN;
     assert_eq!(state.fence(early - Duration::from_millis(1)), Some(0));
-    // The process was frozen until now; its own clock says that it is no longer the holder.
+    // The process was frozen until now. By its own clock, its lease has expired.
     assert_eq!(state.fence(early), None);
     assert!(!state.is_settled(early) && state.is_settled(start + TTL));
 }
@@ -107,12 +107,12 @@
     let record = |daemon: &str, after, body| Record::new(daemon, 1, 1, after, body).encode();
     let mut state = State::new("router-9".into(), 1, Terms::DEFAULT);
     state.skip_to(10);
-    // The first that is left was refused by all who knew what came before: it named a record that
-    // was no longer the last.
+    // Daemons that know the dropped records rejected the first remaining record, since it names a
+    // record that was no longer the last.
     state.fold(Time::ZERO, 10, &record("loser", Some(3), Body::Take));
     state.fold(Time::ZERO, 11, &record("holder", Some(9), Body::Renew { fence: 5 }));
     state.fold(Time::ZERO, 12, &record("holder", Some(11), Body::Renew { fence: 5 }));
-    let holder = state.holder().expect("it is held");
+    let holder = state.holder().expect("a daemon holds the lease");
     assert_eq!((holder.daemon.as_str(), holder.fence), ("holder", 5));
     state.fold(Time::ZERO, 13, &record("loser", Some(3), Body::Take));
     assert_eq!(state.holder().map(|holder| holder.fence), Some(5));
