--- a/src/fleet/figures.rs
+++ b/src/fleet/figures.rs
@@ -58,7 +58,7 @@
             Gauge::new("open", self.requests.len() as u64),
             Gauge::new("waiting", self.waiting.len() as u64),
             Gauge::new("lease_mine", u64::from(self.lease.fence(now).is_some())),
-            Gauge::new("lease_fence", self.lease.held().map_or(0, |held| held.fence)),
+            Gauge::new("lease_fence", self.lease.holder().map_or(0, |held| held.fence)),
             Gauge::new("kv_store_up", u64::from(self.kv_store.is_up(now))),
             Gauge::new("scheduler", u64::from(self.is_scheduler(now))),
             Gauge::new("scheduled_for_others", self.served.len() as u64),
