--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -5,36 +5,36 @@
 /// What is left of it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Allowance {
-    left: f64,
-    at: Time,
+    remaining: f64,
+    refilled_at: Time,
 }
 
 impl Allowance {
-    /// An allowance of which `most` is left.
-    pub(crate) const fn full(now: Time, most: f64) -> Self {
-        Self { left: most, at: now }
+    /// An allowance of which `max` is left.
+    pub(crate) const fn full(now: Time, max: f64) -> Self {
+        Self { remaining: max, refilled_at: now }
     }
 
-    /// Adds what came since the last call, at `rate` a second, up to `most`.
-    pub(crate) fn refill(&mut self, now: Time, rate: f64, most: f64) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.left = (self.left + rate * passed).min(most);
+    /// Adds what came since the last call, at `rate` a second, up to `max`.
+    pub(crate) fn refill(&mut self, now: Time, rate: f64, max: f64) {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.remaining = (self.remaining + rate * elapsed).min(max);
     }
 
     /// What is left.
-    pub(crate) const fn left(&self) -> f64 {
-        self.left
+    pub(crate) const fn remaining(&self) -> f64 {
+        self.remaining
     }
 
     /// Takes an amount off, also where less is left: the next has to wait for it.
     pub(crate) const fn take(&mut self, amount: f64) {
-        self.left -= amount;
+        self.remaining -= amount;
     }
 
     /// Takes an amount off where as much is left; whether it was.
-    pub(crate) fn spend(&mut self, amount: f64) -> bool {
-        let enough = self.left >= amount;
+    pub(crate) fn try_take(&mut self, amount: f64) -> bool {
+        let enough = self.remaining >= amount;
         if enough {
             self.take(amount);
         }
--- a/src/clients/log.rs
+++ b/src/clients/log.rs
@@ -11,9 +11,9 @@
 use crate::prelude::*;
 
 /// Records that one read returns at most.
-pub const READ_LIMIT: u32 = 1_000;
+pub const MAX_READ_RECORDS: u32 = 1_000;
 /// Milliseconds that a read waits for a new record.
-pub const WAIT_MS: u32 = 1_000;
+pub const MAX_WAIT_MS: u32 = 1_000;
 
 /// The answer to a read, on the wire.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -25,12 +25,12 @@
     /// Seconds for which the log keeps records.
     pub retention_s: u64,
     /// Records in ascending order of offset.
-    pub records: Vec<Line>,
+    pub records: Vec<Entry>,
 }
 
 /// One record, on the wire.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Line {
+pub struct Entry {
     /// Its offset.
     pub offset: u64,
     /// When the log took it, in milliseconds of the log's clock.
@@ -41,17 +41,17 @@
 
 /// The answer to an append, on the wire.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Landed {
+pub struct Ack {
     /// The record's offset.
     pub offset: u64,
 }
 
 impl From<Page> for Read {
     fn from(page: Page) -> Self {
-        let records = page.records.into_iter().map(|line| Record {
-            offset: line.offset,
-            time_ms: line.time_ms,
-            text: line.text,
+        let records = page.records.into_iter().map(|entry| Record {
+            offset: entry.offset,
+            time_ms: entry.time_ms,
+            text: entry.text,
         });
         Self {
             first: page.first,
@@ -70,7 +70,8 @@
     wait_ms: u32,
 ) -> Result<Read, String> {
     let name = stream.as_str();
-    let path = format!("/streams/{name}/records?from={from}&limit={READ_LIMIT}&wait_ms={wait_ms}");
+    let path =
+        format!("/streams/{name}/records?from={from}&limit={MAX_READ_RECORDS}&wait_ms={wait_ms}");
     let page: Page = read_json(address, &path, "the log service").await?;
     Ok(page.into())
 }
@@ -84,8 +85,8 @@
     let path = format!("/streams/{}/records", stream.as_str());
     match send_json(address, Method::Post, &path, Some(text), LIMITS).await {
         Ok((StatusCode::Created, body)) => {
-            let landed: Result<Landed, _> = serde_json::from_slice(&body);
-            landed.map(|landed| landed.offset).map_err(|_| AppendResult::Unknown)
+            let ack: Result<Ack, _> = serde_json::from_slice(&body);
+            ack.map(|ack| ack.offset).map_err(|_| AppendResult::Unknown)
         }
         Ok((StatusCode::TooManyRequests | StatusCode::ServiceUnavailable, _)) => {
             Err(AppendResult::Refused)
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -22,17 +22,17 @@
     max_body_bytes: 64 << 20,
 };
 
-/// Reads what is at `path`; an error names `whom` it was asked of where that gave no 200.
+/// Reads what is at `path`; an error names `server` it was asked of where that gave no 200.
 async fn read_json<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
-    whom: &str,
+    server: &str,
 ) -> Result<T, String> {
     let (status, body) = send_json(address, Method::Get, path, None, LIMITS)
         .await
         .map_err(|failure| failure.reason)?;
     if status != StatusCode::Ok {
-        return Err(format!("{whom} answered {status}"));
+        return Err(format!("{server} answered {status}"));
     }
     serde_json::from_slice(&body).map_err(|error| error.to_string())
 }
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -8,16 +8,16 @@
 use async_io::{Timer, block_on};
 use futures_lite::FutureExt;
 
-use super::carrier::Carrier;
+use super::runner::Runner;
 use crate::attempt::{self, Arrival, Command};
 use crate::control::{CandidateStatus, Effect, Message, Node, Status, Stream};
 use crate::manifest::Force;
 use crate::prelude::*;
 
 /// Time between two ticks of the node.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Messages taken between two looks at the clock's tick.
-const MAX_BURST: usize = 256;
+const MAX_MESSAGES_PER_BATCH: usize = 256;
 
 /// Monotonic time since the daemon's start.
 #[derive(Debug, Clone, Copy)]
@@ -36,7 +36,7 @@
 }
 
 /// What the control thread is sent.
-pub(crate) enum Letter {
+pub(crate) enum Input {
     Message(Message),
     Open(Box<Arrival>, Sender<Command>),
     Status(Sender<Status>),
@@ -50,40 +50,40 @@
     ready: AtomicBool,
     draining: AtomicBool,
     drained: AtomicBool,
-    next_request: AtomicU64,
-    offsets: [AtomicU64; Stream::ALL.len()],
+    next_request_key: AtomicU64,
+    next_offsets: [AtomicU64; Stream::ALL.len()],
 }
 
 /// A handle to the control thread.
 #[derive(Debug, Clone)]
 pub struct Control {
-    mailbox: Sender<Letter>,
+    sender: Sender<Input>,
     view: Arc<View>,
     /// The clock that all threads share.
     pub clock: Clock,
 }
 
 impl Control {
-    pub(crate) fn new() -> (Self, Receiver<Letter>) {
-        let (mailbox, letters) = async_channel::unbounded();
-        (Self { mailbox, view: Arc::default(), clock: Clock::start() }, letters)
+    pub(crate) fn new() -> (Self, Receiver<Input>) {
+        let (sender, inputs) = async_channel::unbounded();
+        (Self { sender, view: Arc::default(), clock: Clock::start() }, inputs)
     }
 
     /// Sends a message; nothing comes back.
     pub fn tell(&self, message: Message) {
-        self.mailbox.try_send(Letter::Message(message)).ok();
+        self.sender.try_send(Input::Message(message)).ok();
     }
 
     /// Hands a request over; commands for it come on the channel returned.
     pub fn open(&self, arrival: Arrival) -> Receiver<Command> {
         let (sender, receiver) = async_channel::unbounded();
-        self.mailbox.try_send(Letter::Open(Box::new(arrival), sender)).ok();
+        self.sender.try_send(Input::Open(Box::new(arrival), sender)).ok();
         receiver
     }
 
     /// A key for a new request.
-    pub fn next_request(&self) -> attempt::Key {
-        attempt::Key(self.view.next_request.fetch_add(1, Ordering::Relaxed))
+    pub fn next_request_key(&self) -> attempt::Key {
+        attempt::Key(self.view.next_request_key.fetch_add(1, Ordering::Relaxed))
     }
 
     /// The manifest in force.
@@ -108,98 +108,93 @@
 
     /// The offset from which `stream` is to be read next.
     pub fn next_offset(&self, stream: Stream) -> u64 {
-        self.view.offsets[stream as usize].load(Ordering::Acquire)
+        self.view.next_offsets[stream as usize].load(Ordering::Acquire)
     }
 
     /// The node's state for operators.
     pub async fn status(&self) -> Option<Status> {
         let (sender, receiver) = async_channel::bounded(1);
-        self.mailbox.try_send(Letter::Status(sender)).ok()?;
+        self.sender.try_send(Input::Status(sender)).ok()?;
         receiver.recv().await.ok()
     }
 
     /// Where a request would go now.
     pub async fn explain(&self, arrival: Arrival) -> Option<Vec<CandidateStatus>> {
         let (sender, receiver) = async_channel::bounded(1);
-        self.mailbox.try_send(Letter::Explain(Box::new(arrival), sender)).ok()?;
+        self.sender.try_send(Input::Explain(Box::new(arrival), sender)).ok()?;
         receiver.recv().await.ok()
     }
 }
 
 /// The body of the control thread; ends when every handle is gone.
-pub(super) fn run(
-    mut node: Node,
-    letters: Receiver<Letter>,
-    control: Control,
-    mut carrier: Carrier,
-) {
-    let mut open: BTreeMap<attempt::Key, Sender<Command>> = BTreeMap::new();
-    let mut next_tick = TICK;
+pub(super) fn run(mut node: Node, inputs: Receiver<Input>, control: Control, mut runner: Runner) {
+    let mut open_requests: BTreeMap<attempt::Key, Sender<Command>> = BTreeMap::new();
+    let mut next_tick = TICK_INTERVAL;
     loop {
         let now = control.clock.now();
         if now >= next_tick {
-            next_tick = now + TICK;
+            next_tick = now + TICK_INTERVAL;
             let effects = node.apply(now, Message::Tick);
-            carry(effects, &mut open, &control, &mut carrier);
-            open.retain(|request, _| node.is_open(*request));
+            execute(effects, &mut open_requests, &control, &mut runner);
+            open_requests.retain(|request, _| node.is_open(*request));
         }
         publish(&node, &control);
         let wait = async {
             Timer::after(next_tick.saturating_sub(control.clock.now())).await;
             Ok(None)
         };
-        let receive = async { letters.recv().await.map(Some) };
-        let mut letter = match block_on(receive.or(wait)) {
-            Ok(letter) => letter,
+        let receive = async { inputs.recv().await.map(Some) };
+        let mut input = match block_on(receive.or(wait)) {
+            Ok(input) => input,
             Err(_) => return,
         };
-        for _ in 0..MAX_BURST {
-            let Some(current) = letter.take() else { break };
-            take(&mut node, current, &mut open, &control, &mut carrier);
-            letter = letters.try_recv().ok();
+        for _ in 0..MAX_MESSAGES_PER_BATCH {
+            let Some(current) = input.take() else { break };
+            handle(&mut node, current, &mut open_requests, &control, &mut runner);
+            input = inputs.try_recv().ok();
         }
-        if let Some(last) = letter {
-            take(&mut node, last, &mut open, &control, &mut carrier);
+        if let Some(last) = input {
+            handle(&mut node, last, &mut open_requests, &control, &mut runner);
         }
     }
 }
 
-fn take(
+fn handle(
     node: &mut Node,
-    letter: Letter,
-    open: &mut BTreeMap<attempt::Key, Sender<Command>>,
+    input: Input,
+    open_requests: &mut BTreeMap<attempt::Key, Sender<Command>>,
     control: &Control,
-    carrier: &mut Carrier,
+    runner: &mut Runner,
 ) {
     let now = control.clock.now();
-    let effects = match letter {
-        Letter::Message(message) => node.apply(now, message),
-        Letter::Open(arrival, sender) => {
-            open.insert(arrival.request, sender);
+    let effects = match input {
+        Input::Message(message) => node.apply(now, message),
+        Input::Open(arrival, sender) => {
+            open_requests.insert(arrival.request, sender);
             node.apply(now, Message::Arrive(arrival))
         }
-        Letter::Status(sender) => {
+        Input::Status(sender) => {
             sender.try_send(node.status(now)).ok();
             Vec::new()
         }
-        Letter::Explain(arrival, sender) => {
+        Input::Explain(arrival, sender) => {
             sender.try_send(node.explain(now, *arrival)).ok();
             Vec::new()
         }
     };
-    carry(effects, open, control, carrier);
+    execute(effects, open_requests, control, runner);
 }
 
-fn carry(
+fn execute(
     effects: Vec<Effect>,
-    open: &mut BTreeMap<attempt::Key, Sender<Command>>,
+    open_requests: &mut BTreeMap<attempt::Key, Sender<Command>>,
     control: &Control,
-    carrier: &mut Carrier,
+    runner: &mut Runner,
 ) {
     for effect in effects {
         match effect {
             Effect::Command(request, command) => {
-                if let Some(sender) = open.get(&request) {
+                if let Some(sender) = open_requests.get(&request) {
                     sender.try_send(*command).ok();
                 }
             }
@@ -208,7 +203,7 @@
                     *current = Some(force);
                 }
             }
-            effect => carrier.carry(effect),
+            effect => runner.execute(effect),
         }
     }
 }
@@ -219,6 +214,6 @@
     view.draining.store(node.is_draining(), Ordering::Release);
     view.drained.store(node.is_drained(), Ordering::Release);
     for stream in Stream::ALL {
-        view.offsets[stream as usize].store(node.next_offset(stream), Ordering::Release);
+        view.next_offsets[stream as usize].store(node.next_offset(stream), Ordering::Release);
     }
 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -9,13 +9,13 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 
-use super::carrier::Carrier;
 use super::control::{self, Control};
+use super::runner::Runner;
 use crate::clients;
 use crate::control::{Identity, Message, Node, Policy, Stream};
 use crate::entry::{Connections, Entry};
 use crate::http::accept;
-use crate::ops::Operators;
+use crate::ops::Endpoint;
 use crate::peer::{self, Frame, Links};
 use crate::prelude::*;
 use crate::settings::Settings;
@@ -23,9 +23,9 @@
 use crate::telemetry::{emit, flush_logs, init_logs, trace};
 
 /// Pause before the platform is asked again after a failure.
-const PLATFORM_PAUSE: Duration = Duration::from_millis(200);
+const PLATFORM_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Time between two looks at whether a planned stop is over.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Listeners {
     entry: Async<TcpListener>,
@@ -60,7 +60,7 @@
         .map_err(|detail| Error::new(Code::SettingsInvalid, format!("telemetry.otlp: {detail}")))?;
     let executor: Arc<Executor<'static>> = Arc::default();
     let control = start_control(&settings, &executor);
-    start_traffic(settings.threads, &executor);
+    start_traffic_threads(settings.threads, &executor);
     let result = block_on(executor.run(serve(settings, listeners, control, &executor)));
     if let Some(provider) = traces {
         provider.shutdown_with_timeout(Duration::from_secs(1)).ok();
@@ -70,13 +70,13 @@
 }
 
 fn start_control(settings: &Settings, executor: &Arc<Executor<'static>>) -> Control {
-    let (control, letters) = Control::new();
+    let (control, inputs) = Control::new();
     let identity = Identity {
         id: settings.id.clone(),
         incarnation: fastrand::u64(..),
         zone: settings.zone.clone(),
     };
-    let carrier = Carrier {
+    let runner = Runner {
         executor: Arc::clone(executor),
         control: control.clone(),
         log_service: settings.log_service,
@@ -84,11 +84,11 @@
     };
     let node = Node::new(identity, Policy::default());
     let handle = control.clone();
-    thread::spawn(move || control::run(node, letters, handle, carrier));
+    thread::spawn(move || control::run(node, inputs, handle, runner));
     control
 }
 
-fn start_traffic(threads: u32, executor: &Arc<Executor<'static>>) {
+fn start_traffic_threads(threads: u32, executor: &Arc<Executor<'static>>) {
     for _ in 1..threads {
         let executor = Arc::clone(executor);
         thread::spawn(move || block_on(executor.run(std::future::pending::<()>())));
@@ -110,12 +110,13 @@
     let entry = Arc::new(Entry::new(&settings, control.clone(), Arc::clone(&metrics), executor));
     watch_log(executor, &control, settings.log_service);
     watch_vms(executor, &control, &settings);
-    let operators = Arc::new(Operators::new(Arc::clone(&entry), control.clone(), metrics));
+    let operators = Arc::new(Endpoint::new(Arc::clone(&entry), control.clone(), metrics));
     accept_operators(executor, listeners.operators, operators);
     accept_peers(executor, listeners.peer, control.clone());
-    let callers = executor.spawn(accept_callers(listeners.entry, entry, Arc::clone(&connections)));
+    let accept_task =
+        executor.spawn(accept_callers(listeners.entry, entry, Arc::clone(&connections)));
     signals.next().await;
-    stop(&settings, &control, &connections, callers).await;
+    stop(&settings, &control, &connections, accept_task).await;
     Ok(())
 }
 
@@ -146,14 +147,14 @@
                 let from = control.next_offset(stream);
                 match clients::log::read(address, stream, from, wait_ms).await {
                     Ok(read) => {
-                        wait_ms = clients::log::WAIT_MS;
+                        wait_ms = clients::log::MAX_WAIT_MS;
                         let next = read.records.last().map(|record| record.offset + 1);
                         control.tell(Message::Records(stream, read));
-                        folded(&control, stream, next).await;
+                        wait_until_applied(&control, stream, next).await;
                     }
                     Err(_) => {
                         control.tell(Message::LogDown(stream));
-                        Timer::after(PLATFORM_PAUSE).await;
+                        Timer::after(PLATFORM_RETRY_DELAY).await;
                     }
                 }
             }
@@ -163,10 +164,10 @@
 }
 
 /// Waits until the node has folded up to `next`, for a bounded time.
-async fn folded(control: &Control, stream: Stream, next: Option<u64>) {
-    const LOOKS: u32 = 500;
+async fn wait_until_applied(control: &Control, stream: Stream, next: Option<u64>) {
+    const MAX_CHECKS: u32 = 500;
     let Some(next) = next else { return };
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_CHECKS {
         if control.next_offset(stream) >= next {
             return;
         }
@@ -205,7 +206,7 @@
 fn accept_operators(
     executor: &Arc<Executor<'static>>,
     listener: Async<TcpListener>,
-    operators: Arc<Operators>,
+    operators: Arc<Endpoint>,
 ) {
     let spawner = Arc::clone(executor);
     let accepting = async move {
@@ -218,12 +219,12 @@
 }
 
 fn accept_peers(executor: &Arc<Executor<'static>>, listener: Async<TcpListener>, control: Control) {
-    let take = move |bytes: &[u8]| {
+    let handle = move |bytes: &[u8]| {
         let frame = Frame::decode(bytes).map_err(|malformed| malformed.0)?;
         control.tell(Message::Frame(frame));
         Ok(())
     };
-    executor.spawn(peer::listen(listener, Arc::clone(executor), take)).detach();
+    executor.spawn(peer::listen(listener, Arc::clone(executor), handle)).detach();
 }
 
 /// A planned stop: not ready first, then no new connections, then every request ends.
@@ -231,14 +232,14 @@
     settings: &Settings,
     control: &Control,
     connections: &Connections,
-    callers: async_executor::Task<()>,
+    accept_task: async_executor::Task<()>,
 ) {
     control.tell(Message::Stop);
     Timer::after(Duration::from_millis(settings.limits.drain_notice_ms)).await;
-    callers.cancel().await;
+    accept_task.cancel().await;
     let drained = async {
         while !control.is_drained() || connections.is_busy() {
-            Timer::after(DRAIN_LOOK).await;
+            Timer::after(DRAIN_CHECK_INTERVAL).await;
         }
         emit(Event::Stopped, Detail::none());
     };
--- a/src/daemon/carrier.rs
+++ b/src/daemon/runner.rs
@@ -16,16 +16,16 @@
 use crate::telemetry::emit;
 
 /// Carries effects out.
-pub(super) struct Carrier {
+pub(super) struct Runner {
     pub(super) executor: Arc<Executor<'static>>,
     pub(super) control: Control,
     pub(super) log_service: SocketAddr,
     pub(super) links: Links,
 }
 
-impl Carrier {
+impl Runner {
     /// Carries one effect out; those for requests and the manifest are not its own.
-    pub(super) fn carry(&mut self, effect: Effect) {
+    pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Command(..) | Effect::UseManifest(_) => {}
             Effect::Append { number, text } => self.append(number, text),
@@ -33,7 +33,7 @@
             Effect::Order { server, address, order } => self.order(server, address, &order),
             Effect::Checkpoint(text) => self.checkpoint(text),
             Effect::AppendBlocked(text) => self.append_blocked(text),
-            Effect::Probe(victim, address) => self.probe(victim, address),
+            Effect::Probe(incarnation, address) => self.probe(incarnation, address),
             Effect::Poll { server, address, from } => self.poll(server, address, from),
             Effect::Send(address, frame) => self.send(address, frame),
             Effect::Event(event, detail) => emit(event, detail),
@@ -64,11 +64,11 @@
     fn order(&self, server: membership::Key, address: SocketAddr, order: &Order) {
         let control = self.control.clone();
         let body = serde_json::to_string(order).unwrap_or_default();
-        let give = async move {
+        let send_order = async move {
             let accepted = clients::engine::order(address, body).await;
             control.tell(Message::Ordered(server, accepted));
         };
-        self.executor.spawn(give).detach();
+        self.executor.spawn(send_order).detach();
     }
 
     fn checkpoint(&self, text: String) {
@@ -89,11 +89,11 @@
         self.executor.spawn(append).detach();
     }
 
-    fn probe(&self, victim: Incarnation, address: SocketAddr) {
+    fn probe(&self, incarnation: Incarnation, address: SocketAddr) {
         let control = self.control.clone();
         let probe = async move {
             let answer = relay::probe(address).await;
-            control.tell(Message::Probed(victim, answer));
+            control.tell(Message::Probed(incarnation, answer));
         };
         self.executor.spawn(probe).detach();
     }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -112,7 +112,7 @@
         let prompt = completion.prompt.as_bytes();
         let deadline = options.deadline.unwrap_or(Duration::from_millis(model.default_deadline_ms));
         Ok(Arrival {
-            request: self.control.next_request(),
+            request: self.control.next_request_key(),
             workspace: workspace_name.to_owned(),
             share: workspace.share,
             target: Target::Model {
@@ -166,7 +166,7 @@
         let deadline =
             options.deadline.unwrap_or(Duration::from_millis(service.default_deadline_ms));
         Ok(Arrival {
-            request: self.control.next_request(),
+            request: self.control.next_request_key(),
             workspace: call.workspace.clone(),
             share: workspace.share,
             target: Target::Service { service: name.to_owned() },
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -49,7 +49,7 @@
             return;
         }
         self.notice_allowance.refill(now, MAX_NOTICES_PER_S, MAX_NOTICES_PER_S);
-        if self.notice_allowance.spend(peers.len() as f64) {
+        if self.notice_allowance.try_take(peers.len() as f64) {
             let daemon = self.identity.id.clone();
             let notice = Notice { daemon, life, busy, parts };
             self.effects.push(Effect::Send(peers, Frame::Notice(notice)));
--- a/src/fleet/residency/store.rs
+++ b/src/fleet/residency/store.rs
@@ -62,7 +62,7 @@
 
     /// Whether `bytes` may be moved now.
     pub(in crate::fleet) fn has_room(&self, bytes: f64) -> bool {
-        self.allowance.left() >= bytes
+        self.allowance.remaining() >= bytes
     }
 
     /// Deducts `bytes` that this daemon moves.
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -14,19 +14,19 @@
 use crate::telemetry::metrics::Metrics;
 
 /// Time that an operator's connection may stay silent.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes of an operator's request.
-const MAX_BODY: u64 = 8 << 20;
+const MAX_BODY_BYTES: u64 = 8 << 20;
 
 /// Serves operators and the platform's balancer.
 #[derive(Debug)]
-pub struct Operators {
+pub struct Endpoint {
     entry: Arc<Entry>,
     control: Control,
     metrics: Arc<Metrics>,
 }
 
-impl Operators {
+impl Endpoint {
     /// Serves what `control` and `metrics` show.
     pub fn new(entry: Arc<Entry>, control: Control, metrics: Arc<Metrics>) -> Self {
         Self { entry, control, metrics }
@@ -34,20 +34,20 @@
 
     /// Serves one connection.
     pub async fn serve(self: Arc<Self>, stream: Async<TcpStream>) {
-        let socket = Socket::new(stream, IDLE);
-        let endpoint = |request, socket| {
-            let operators = Arc::clone(&self);
-            async move { Ok(operators.answer(request, socket).await) }
+        let socket = Socket::new(stream, IDLE_TIMEOUT);
+        let handler = |request, socket| {
+            let endpoint = Arc::clone(&self);
+            async move { Ok(endpoint.answer(request, socket).await) }
         };
-        server::serve(socket, endpoint).await.ok();
+        server::serve(socket, handler).await.ok();
     }
 
     async fn answer(&self, request: Request, socket: Socket) -> Response {
-        let whole = match server::read(request, &socket, MAX_BODY).await {
-            Ok(whole) => whole,
-            Err(error) => return refused(&error),
+        let received = match server::read(request, &socket, MAX_BODY_BYTES).await {
+            Ok(received) => received,
+            Err(error) => return error_response(&error),
         };
-        let mut answer = match (whole.request.method(), whole.request.url().path()) {
+        let mut answer = match (received.request.method(), received.request.url().path()) {
             (Method::Get, "/healthz") => server::text(200, "ok\n".into(), "text/plain"),
             (Method::Get, "/readyz") if self.control.is_ready() => {
                 server::text(200, "ready\n".into(), "text/plain")
@@ -55,10 +55,10 @@
             (Method::Get, "/readyz") => server::text(503, "not ready\n".into(), "text/plain"),
             (Method::Get, "/status") => self.status().await,
             (Method::Get, "/metrics") => self.metrics().await,
-            (Method::Post, "/explain") => self.explain(&whole.body).await,
-            (_, path) => refused(&Error::new(Code::UnknownPath, path)),
+            (Method::Post, "/explain") => self.explain(&received.body).await,
+            (_, path) => error_response(&Error::new(Code::UnknownPath, path)),
         };
-        if whole.close {
+        if received.close {
             answer.insert_header("connection", "close");
         }
         answer
@@ -77,14 +77,14 @@
     async fn explain(&self, body: &[u8]) -> Response {
         let arrival = match self.entry.parse_query(body) {
             Ok(arrival) => arrival,
-            Err(error) => return refused(&error),
+            Err(error) => return error_response(&error),
         };
         let candidates = self.control.explain(arrival).await;
         server::json(200, &json!({ "candidates": candidates.unwrap_or_default() }))
     }
 }
 
-fn refused(error: &Error) -> Response {
+fn error_response(error: &Error) -> Response {
     let row = error.code.row();
     server::json(
         row.status,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -208,8 +208,8 @@
             ("limits.vm_list_interval_ms", limits.vm_list_interval_ms, 60_000),
             ("limits.drain_ms", limits.drain_ms, 3_600_000),
         ];
-        for (path, value, most) in bounds {
-            require((1..=most).contains(&value), path, value, &format!("1 to {most}"))?;
+        for (path, value, max) in bounds {
+            require((1..=max).contains(&value), path, value, &format!("1 to {max}"))?;
         }
         let notice = limits.drain_notice_ms;
         let allowed = "0 to drain_ms";
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn sound() -> Value {
+fn valid() -> Value {
     json!({
         "id": "router-0", "region": "r", "zone": "z",
         "listen": "127.0.0.1:0", "peer_listen": "127.0.0.1:0", "operators_listen": "127.0.0.1:0",
@@ -14,7 +14,7 @@
 
 #[test]
 fn parse_sound() {
-    let settings = Settings::parse(sound().to_string().as_bytes()).expect("it is sound");
+    let settings = Settings::parse(valid().to_string().as_bytes()).expect("the settings are valid");
     assert_eq!(settings.limits, Limits::default());
 }
 
@@ -31,7 +31,7 @@
         ("extra", json!(1), "extra: unknown field"),
     ];
     for (field, value, expected) in cases {
-        let mut settings = sound();
+        let mut settings = valid();
         settings[field] = value;
         let error = Settings::parse(settings.to_string().as_bytes()).expect_err("a fault");
         assert_eq!(error.code, Code::SettingsInvalid);
--- a/src/telemetry/budget.rs
+++ b/src/telemetry/budget.rs
@@ -46,8 +46,8 @@
         lines.refill(now, rate, rate * BURST_S);
         let bytes_rate = f64::from(self.rate.bytes_per_s);
         self.bytes.refill(now, bytes_rate, bytes_rate * BURST_S);
-        let bytes_left = self.bytes.left() > 0.0 || event.level() <= log::Level::Warn;
-        if !bytes_left || !lines.spend(1.0) {
+        let bytes_left = self.bytes.remaining() > 0.0 || event.level() <= log::Level::Warn;
+        if !bytes_left || !lines.try_take(1.0) {
             *self.dropped.entry(event.name()).or_default() += 1;
             return false;
         }
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use async_io::Timer;
-use cardamomvalve::clients::log::{Landed, Line, Page};
+use cardamomvalve::clients::log::{Ack, Entry, Page};
 use cardamomvalve::http::server::{self, Received};
 use clap::Parser;
 use http_types::{Method, Response};
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 struct Stream {
     first: u64,
-    lines: Vec<Line>,
+    lines: Vec<Entry>,
 }
 
 impl Stream {
@@ -86,7 +86,7 @@
     fn append(&mut self, name: &str, text: String) -> u64 {
         let stream = self.streams.entry(name.to_owned()).or_default();
         let offset = stream.next();
-        stream.lines.push(Line { offset, time_ms: now_ms(), text });
+        stream.lines.push(Entry { offset, time_ms: now_ms(), text });
         offset
     }
 
@@ -145,7 +145,7 @@
     let text = String::from_utf8(whole.body).ok()?;
     let landed = |text| {
         let offset = state.borrow_mut().append(name, text);
-        let body = serde_json::to_value(Landed { offset }).unwrap_or_default();
+        let body = serde_json::to_value(Ack { offset }).unwrap_or_default();
         server::json(201, &body)
     };
     match mode {
