--- a/src/clients/engine.rs
+++ b/src/clients/engine.rs
@@ -22,7 +22,7 @@
 };
 
 /// Gives an engine an order, as JSON; whether it was carried out.
-pub async fn order(address: SocketAddr, order: String) -> bool {
+pub async fn send_order(address: SocketAddr, order: String) -> bool {
     let answer = send_json(address, Method::Post, "/orders", Some(order), ORDER_LIMITS).await;
     answer.is_ok_and(|(status, _)| status.is_success())
 }
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -46,7 +46,7 @@
 /// What other threads see of the node without asking it.
 #[derive(Debug, Default)]
 struct View {
-    force: RwLock<Option<Arc<Force>>>,
+    manifest: RwLock<Option<Arc<Force>>>,
     ready: AtomicBool,
     draining: AtomicBool,
     drained: AtomicBool,
@@ -87,8 +87,8 @@
     }
 
     /// The manifest in force.
-    pub fn force(&self) -> Option<Arc<Force>> {
-        self.view.force.read().ok()?.clone()
+    pub fn manifest_in_force(&self) -> Option<Arc<Force>> {
+        self.view.manifest.read().ok()?.clone()
     }
 
     /// Whether the platform's balancer may send callers here.
@@ -198,9 +198,9 @@
                     sender.try_send(*command).ok();
                 }
             }
-            Effect::UseManifest(force) => {
-                if let Ok(mut current) = control.view.force.write() {
-                    *current = Some(force);
+            Effect::UseManifest(manifest) => {
+                if let Ok(mut current) = control.view.manifest.write() {
+                    *current = Some(manifest);
                 }
             }
             effect => runner.execute(effect),
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -52,7 +52,7 @@
 pub fn run(settings: Settings) -> Result<()> {
     init_logs(&settings.telemetry, &settings.id);
     let listeners = Listeners::bind(&settings)?;
-    let traces = settings
+    let trace_provider = settings
         .telemetry
         .otlp
         .map(|address| trace::init(address, &settings.id))
@@ -62,7 +62,7 @@
     let control = start_control(&settings, &executor);
     start_traffic_threads(settings.threads, &executor);
     let result = block_on(executor.run(serve(settings, listeners, control, &executor)));
-    if let Some(provider) = traces {
+    if let Some(provider) = trace_provider {
         provider.shutdown_with_timeout(Duration::from_secs(1)).ok();
     }
     flush_logs();
--- a/src/daemon/runner.rs
+++ b/src/daemon/runner.rs
@@ -30,7 +30,7 @@
             Effect::Command(..) | Effect::UseManifest(_) => {}
             Effect::Append { number, text } => self.append(number, text),
             Effect::AppendLease(text) => self.append_lease(text),
-            Effect::Order { server, address, order } => self.order(server, address, &order),
+            Effect::Order { server, address, order } => self.send_order(server, address, &order),
             Effect::Checkpoint(text) => self.checkpoint(text),
             Effect::AppendBlocked(text) => self.append_blocked(text),
             Effect::Probe(incarnation, address) => self.probe(incarnation, address),
@@ -61,14 +61,14 @@
         self.executor.spawn(append).detach();
     }
 
-    fn order(&self, server: membership::Key, address: SocketAddr, order: &Order) {
+    fn send_order(&self, server: membership::Key, address: SocketAddr, order: &Order) {
         let control = self.control.clone();
         let body = serde_json::to_string(order).unwrap_or_default();
-        let send_order = async move {
-            let accepted = clients::engine::order(address, body).await;
+        let sending = async move {
+            let accepted = clients::engine::send_order(address, body).await;
             control.tell(Message::Ordered(server, accepted));
         };
-        self.executor.spawn(send_order).detach();
+        self.executor.spawn(sending).detach();
     }
 
     fn checkpoint(&self, text: String) {
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -231,7 +231,7 @@
     pub fn parse_query(&self, body: &[u8]) -> Result<Arrival> {
         let query: Query = serde_json::from_slice(body)
             .map_err(|error| Error::new(Code::MalformedRequest, error.to_string()))?;
-        let force = self.control.force().ok_or(Code::NoManifest)?;
+        let force = self.control.manifest_in_force().ok_or(Code::NoManifest)?;
         let body = serde_json::json!({ "model": query.model, "prompt": query.prompt });
         let completion = Completion::parse(super::openai::Kind::Text, body.to_string().as_bytes())?;
         let mut request = http_types::Request::new(http_types::Method::Get, "http://localhost/");
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -155,7 +155,7 @@
 
     /// Finds the workspace that owns the request's bearer key.
     fn authenticate(&self, request: &Request) -> Result<(String, Arc<Force>)> {
-        let force = self.control.force().ok_or(Code::NoManifest)?;
+        let force = self.control.manifest_in_force().ok_or(Code::NoManifest)?;
         let value = header::single(request.as_ref(), "authorization")?.ok_or(Code::MissingKey)?;
         let key = match value.split_once(' ') {
             Some((scheme, key)) if scheme.eq_ignore_ascii_case("bearer") => key.trim(),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn parse_sound() {
+fn parse_valid() {
     let settings = Settings::parse(valid().to_string().as_bytes()).expect("the settings are valid");
     assert_eq!(settings.limits, Limits::default());
 }
