--- a/src/allowance.rs
+++ b/src/allowance.rs
@@ -1,8 +1,8 @@
-//! An amount that refills with time, as far as a burst may go.
+//! Token bucket: an amount that refills at a rate, up to the size of a burst.
 
 use crate::prelude::*;
 
-/// What is left of it.
+/// A token bucket.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Allowance {
     remaining: f64,
@@ -10,29 +10,29 @@
 }
 
 impl Allowance {
-    /// An allowance of which `max` is left.
+    /// Creates an allowance that holds `max`.
     pub(crate) const fn full(now: Time, max: f64) -> Self {
         Self { remaining: max, refilled_at: now }
     }
 
-    /// Adds what came since the last call, at `rate` a second, up to `max`.
+    /// Adds `rate` for each second since the last refill, up to `max` in total.
     pub(crate) fn refill(&mut self, now: Time, rate: f64, max: f64) {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
         self.remaining = (self.remaining + rate * elapsed).min(max);
     }
 
-    /// What is left.
+    /// The amount that remains; negative after [`take`](Self::take) took more than there was.
     pub(crate) const fn remaining(&self) -> f64 {
         self.remaining
     }
 
-    /// Takes an amount off, also where less is left: the next has to wait for it.
+    /// Deducts `amount` even if less remains. Later users wait until the debt is refilled.
     pub(crate) const fn take(&mut self, amount: f64) {
         self.remaining -= amount;
     }
 
-    /// Takes an amount off where as much is left; whether it was.
+    /// Deducts `amount` if that much remains. Returns whether it did.
     pub(crate) fn try_take(&mut self, amount: f64) -> bool {
         let enough = self.remaining >= amount;
         if enough {
--- a/src/bin/cardamomvalve.rs
+++ b/src/bin/cardamomvalve.rs
@@ -1,4 +1,4 @@
-//! The operators' client: parses the command line, carries the command out, prints one error.
+//! The operators' client: parses the command line, runs the command and prints its result or error.
 
 use std::io::Write as _;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 fn main() -> ExitCode {
     match run(&Options::parse()) {
         Ok(text) => {
-            // A reader that has left, as `head` does, is no error.
+            // A reader that closes the pipe early, such as `head`, is not an error.
             writeln!(std::io::stdout(), "{text}").ok();
             ExitCode::SUCCESS
         }
--- a/src/bin/cardamomvalved.rs
+++ b/src/bin/cardamomvalved.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings and runs until a planned stop has ended.
+//! The daemon: reads its settings and runs until its planned stop has finished.
 
 use std::process::ExitCode;
 
--- a/src/clients/log.rs
+++ b/src/clients/log.rs
@@ -1,4 +1,4 @@
-//! The log service: append-only streams with offsets.
+//! Client for the log service, which holds append-only streams of records with offsets.
 
 use std::net::SocketAddr;
 
@@ -10,36 +10,36 @@
 use crate::http::client::{Failure, Stage, send_json};
 use crate::prelude::*;
 
-/// Records that one read returns at most.
+/// Maximum number of records that one read returns.
 pub const MAX_READ_RECORDS: u32 = 1_000;
-/// Milliseconds that a read waits for a new record.
+/// Maximum time for which a read waits for a new record.
 pub const MAX_WAIT_MS: u32 = 1_000;
 
-/// The answer to a read, on the wire.
+/// Wire form of the answer to a read.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Page {
-    /// The oldest offset that the log still has.
+    /// The oldest offset that the log still holds.
     pub first: u64,
     /// The offset after the newest record.
     pub next: u64,
-    /// Seconds for which the log keeps records.
+    /// Time for which the log keeps records.
     pub retention_s: u64,
     /// Records in ascending order of offset.
     pub records: Vec<Entry>,
 }
 
-/// One record, on the wire.
+/// Wire form of a record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Entry {
     /// Its offset.
     pub offset: u64,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// Time of the append on the log's clock.
     pub time_ms: u64,
     /// Its text.
     pub text: String,
 }
 
-/// The answer to an append, on the wire.
+/// Wire form of the answer to an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Ack {
     /// The record's offset.
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads `stream` from offset `from`, waiting up to `wait_ms` for a record.
+/// Reads `stream` from offset `from`. Waits up to `wait_ms` for a record.
 pub async fn read(
     address: SocketAddr,
     stream: Stream,
@@ -76,7 +76,7 @@
     Ok(page.into())
 }
 
-/// Appends a record to `stream`; on success its offset.
+/// Appends a record to `stream` and returns its offset.
 pub async fn append(
     address: SocketAddr,
     stream: Stream,
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's log service and VM list, and engines' reports, as this program reads them.
+//! Clients for the platform's log service and VM list and for model engines.
 //!
-//! The protocols are written down in `docs/PLATFORM.md`.
+//! `docs/PLATFORM.md` specifies the protocols.
 
 pub mod engine;
 pub mod log;
@@ -14,7 +14,7 @@
 use crate::http::client::{Limits, send_json};
 use crate::prelude::*;
 
-/// Bounds of an exchange with the platform or of a poll.
+/// Limits of an exchange with the platform, and of a poll of an engine.
 pub const LIMITS: Limits = Limits {
     connect_timeout: Duration::from_millis(500),
     head_timeout: Duration::from_secs(2),
@@ -22,7 +22,7 @@
     max_body_bytes: 64 << 20,
 };
 
-/// Reads what is at `path`; an error names `server` it was asked of where that gave no 200.
+/// Reads JSON from `path`. The error for any status but 200 names `server`.
 async fn read_json<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
--- a/src/clients/vms.rs
+++ b/src/clients/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list.
+//! Client for the platform's VM list.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 use crate::membership::Vm;
 use crate::prelude::*;
 
-/// The VM list, on the wire.
+/// Wire form of the VM list.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct List {
-    /// Live and leaving VMs.
+    /// Running and draining VMs.
     pub vms: Vec<Vm>,
 }
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,15 +1,15 @@
-//! The clock that a process measures with.
+//! The monotonic clock of a process.
 
 use rustix::time::{ClockId, clock_gettime};
 
 use crate::prelude::*;
 
-/// Time since its start, which goes on while the VM is suspended.
+/// Measures the time since its start, including time for which the VM was suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Duration);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self(boot_time())
     }
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: it alone owns the [`Node`], and all else sends it messages.
+//! The control thread, which owns the [`Node`], and the handle through which other threads use it.
 
 use std::sync::RwLock;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,7 +16,7 @@
 
 /// Time between two ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Messages taken between two looks at the clock's tick.
+/// Messages handled in a row before the clock is checked for a tick.
 const MAX_MESSAGES_PER_BATCH: usize = 256;
 
 /// Monotonic time since the daemon's start.
@@ -24,7 +24,7 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self(Instant::now())
     }
@@ -35,15 +35,19 @@
     }
 }
 
-/// What the control thread is sent.
+/// Input to the control thread.
 pub(crate) enum Input {
+    /// A message to the node.
     Message(Message),
+    /// A new request, and the channel for its commands.
     Open(Box<Arrival>, Sender<Command>),
+    /// A query for the node's status, and the channel for the result.
     Status(Sender<Status>),
+    /// A query for a request's candidates, and the channel for the result.
     Explain(Box<Arrival>, Sender<Vec<CandidateStatus>>),
 }
 
-/// What other threads see of the node without asking it.
+/// State of the node that other threads read directly.
 #[derive(Debug, Default)]
 struct View {
     manifest: RwLock<Option<Arc<Force>>>,
@@ -69,19 +73,19 @@
         (Self { sender, view: Arc::default(), clock: Clock::start() }, inputs)
     }
 
-    /// Sends a message; nothing comes back.
+    /// Sends a message without a reply.
     pub fn tell(&self, message: Message) {
         self.sender.try_send(Input::Message(message)).ok();
     }
 
-    /// Hands a request over; commands for it come on the channel returned.
+    /// Opens a request; its commands arrive on the returned channel.
     pub fn open(&self, arrival: Arrival) -> Receiver<Command> {
         let (sender, receiver) = async_channel::unbounded();
         self.sender.try_send(Input::Open(Box::new(arrival), sender)).ok();
         receiver
     }
 
-    /// A key for a new request.
+    /// Returns a key for a new request.
     pub fn next_request_key(&self) -> attempt::Key {
         attempt::Key(self.view.next_request_key.fetch_add(1, Ordering::Relaxed))
     }
@@ -91,7 +95,7 @@
         self.view.manifest.read().ok()?.clone()
     }
 
-    /// Whether the platform's balancer may send callers here.
+    /// Whether the platform's load balancer may send callers to this daemon.
     pub fn is_ready(&self) -> bool {
         self.view.ready.load(Ordering::Acquire)
     }
@@ -101,24 +105,24 @@
         self.view.draining.load(Ordering::Acquire)
     }
 
-    /// Whether a planned stop has nothing left to wait for.
+    /// Whether a planned stop may end: no request is open and no append is pending.
     pub fn is_drained(&self) -> bool {
         self.view.drained.load(Ordering::Acquire)
     }
 
-    /// The offset from which `stream` is to be read next.
+    /// The offset of the next record to read from `stream`.
     pub fn next_offset(&self, stream: Stream) -> u64 {
         self.view.next_offsets[stream as usize].load(Ordering::Acquire)
     }
 
-    /// The node's state for operators.
+    /// Returns the node's status for operators.
     pub async fn status(&self) -> Option<Status> {
         let (sender, receiver) = async_channel::bounded(1);
         self.sender.try_send(Input::Status(sender)).ok()?;
         receiver.recv().await.ok()
     }
 
-    /// Where a request would go now.
+    /// Returns the candidates for a request, the best first.
     pub async fn explain(&self, arrival: Arrival) -> Option<Vec<CandidateStatus>> {
         let (sender, receiver) = async_channel::bounded(1);
         self.sender.try_send(Input::Explain(Box::new(arrival), sender)).ok()?;
@@ -126,7 +130,7 @@
     }
 }
 
-/// The body of the control thread; ends when every handle is gone.
+/// Runs the control thread until every handle is dropped.
 pub(super) fn run(mut node: Node, inputs: Receiver<Input>, control: Control, mut runner: Runner) {
     let mut open_requests: BTreeMap<attempt::Key, Sender<Command>> = BTreeMap::new();
     let mut next_tick = TICK_INTERVAL;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: one control thread, a few threads for traffic, and the life from start to stop.
+//! The daemon process: startup, one control thread, a few traffic threads, and the planned stop.
 
 mod control;
 mod options;
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! Starting, serving and stopping.
+//! Starts the daemon, serves its listeners and stops it.
 
 use std::io::Write as _;
 use std::net::{SocketAddr, TcpListener};
@@ -22,9 +22,9 @@
 use crate::telemetry::metrics::Metrics;
 use crate::telemetry::{emit, flush_logs, init_logs, trace};
 
-/// Pause before the platform is asked again after a failure.
+/// Time from a failed read of the log service to the next.
 const PLATFORM_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Time between two looks at whether a planned stop is over.
+/// Time between two checks of whether a planned stop has finished.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Listeners {
@@ -48,7 +48,7 @@
         .map_err(|error| Error::new(Code::AddressUnusable, format!("{name}: {address}: {error}")))
 }
 
-/// Runs a daemon until a planned stop has ended.
+/// Runs a daemon until its planned stop has finished.
 pub fn run(settings: Settings) -> Result<()> {
     init_logs(&settings.telemetry, &settings.id);
     let listeners = Listeners::bind(&settings)?;
@@ -141,7 +141,7 @@
     for stream in Stream::ALL {
         let control = control.clone();
         let watch = async move {
-            // The first read does not wait, so that the tail is known at once.
+            // The first read doesn't wait, so the end of the stream is known at once.
             let mut wait_ms = 0;
             loop {
                 let from = control.next_offset(stream);
@@ -163,7 +163,7 @@
     }
 }
 
-/// Waits until the node has folded up to `next`, for a bounded time.
+/// Waits, for a bounded time, until the node has applied all records before `next`.
 async fn wait_until_applied(control: &Control, stream: Stream, next: Option<u64>) {
     const MAX_CHECKS: u32 = 500;
     let Some(next) = next else { return };
@@ -227,7 +227,8 @@
     executor.spawn(peer::listen(listener, Arc::clone(executor), handle)).detach();
 }
 
-/// A planned stop: not ready first, then no new connections, then every request ends.
+/// Stops as planned: first reports not ready, then accepts no more connections, then waits until
+/// all requests have ended.
 async fn stop(
     settings: &Settings,
     control: &Control,
--- a/src/daemon/runner.rs
+++ b/src/daemon/runner.rs
@@ -1,4 +1,4 @@
-//! Carries a node's effects out on the traffic threads, and sends back what came of them.
+//! Executes a node's effects on the traffic threads and sends their results back to the node.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use crate::relay;
 use crate::telemetry::emit;
 
-/// Carries effects out.
+/// Executes effects.
 pub(super) struct Runner {
     pub(super) executor: Arc<Executor<'static>>,
     pub(super) control: Control,
@@ -24,7 +24,7 @@
 }
 
 impl Runner {
-    /// Carries one effect out; those for requests and the manifest are not its own.
+    /// Starts one effect. The control thread itself handles commands and manifests.
     pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Command(..) | Effect::UseManifest(_) => {}
@@ -52,7 +52,7 @@
         self.executor.spawn(append).detach();
     }
 
-    /// A lost answer needs no care: what counts is what is read.
+    /// Ignores the result, because a lease counts only once it is read from the stream.
     fn append_lease(&self, text: String) {
         let address = self.log_service;
         let append = async move {
@@ -80,7 +80,7 @@
         self.executor.spawn(append).detach();
     }
 
-    /// What did not land is seen by its absence when the stream is read.
+    /// Ignores the result. Reading the stream shows whether the record was written.
     fn append_blocked(&self, text: String) {
         let address = self.log_service;
         let append = async move {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! cardamomvalve: a router for language-model traffic that carries long shared prompts.
 //!
-//! The decisions live in [`control::Node`], a deterministic state machine without I/O. Around it
-//! stand the edges of the process: [`entry`] (callers), [`clients`] (log service, VM list),
-//! [`peer`] (other daemons), [`ops`] (operators) and [`telemetry`].
+//! [`control::Node`] makes the decisions; it is a deterministic state machine without I/O. The I/O is
+//! in [`entry`] (callers), [`clients`] (log service, VM list, engines), [`peer`] (other daemons),
+//! [`ops`] (operators) and [`telemetry`].
 //!
-//! Requests that are passed on as they are have a way of their own: [`route`] finds where they belong,
-//! [`fleet::Node`] decides, without I/O too, and [`relay`] carries them. The program for the users'
-//! platform, in `platform/`, is built on these.
+//! Requests that are forwarded unchanged take a separate path: [`route`] finds their route,
+//! [`fleet::Node`] places them, also without I/O, and [`relay`] forwards them. The program for the
+//! users' platform, in `platform/`, is built on these.
 
 pub mod admission;
 mod allowance;
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' address: health, readiness, metrics, status and explanations. Nothing here
-//! changes a running router.
+//! The operators' HTTP endpoint: health, readiness, metrics, status and routing explanations. It is
+//! read-only.
 
 use std::net::TcpStream;
 
@@ -13,12 +13,12 @@
 use crate::prelude::*;
 use crate::telemetry::metrics::Metrics;
 
-/// Time that an operator's connection may stay silent.
+/// Time for which an operator's connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of an operator's request.
+/// Maximum size of an operator's request body.
 const MAX_BODY_BYTES: u64 = 8 << 20;
 
-/// Serves operators and the platform's balancer.
+/// Serves operators and the platform's load balancer.
 #[derive(Debug)]
 pub struct Endpoint {
     entry: Arc<Entry>,
@@ -27,7 +27,7 @@
 }
 
 impl Endpoint {
-    /// Serves what `control` and `metrics` show.
+    /// Creates an endpoint that reports the state of `control` and `metrics`.
     pub fn new(entry: Arc<Entry>, control: Control, metrics: Arc<Metrics>) -> Self {
         Self { entry, control, metrics }
     }
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules use.
+//! Types that most modules use.
 
 pub use std::collections::{BTreeMap, BTreeSet};
 pub use std::sync::Arc;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one daemon: one JSON file, checked whole before anything starts.
+//! The settings of one daemon, from a JSON file that is fully checked before anything starts.
 
 #[cfg(test)]
 mod tests;
@@ -11,9 +11,9 @@
 
 use crate::prelude::*;
 
-/// Lines of one event a second: ten times the requests of a daemon at the size designed for.
+/// Log lines a second of one event: ten times a daemon's request rate at the design load.
 const LOG_LINES_PER_S: u32 = 200;
-/// Bytes of log a second: four lines of some 300 bytes for each of some 100 requests.
+/// Log bytes a second: four lines of some 300 bytes for each of some 100 requests.
 const LOG_BYTES_PER_S: u32 = 128 << 10;
 
 /// Everything that a daemon is told at its start.
@@ -150,7 +150,7 @@
     Debug,
 }
 
-/// Reads a whole file; an error names it.
+/// Reads a whole file. An error contains its path.
 ///
 /// ```
 /// let error = cardamomvalve::settings::read_file("/nowhere".as_ref()).unwrap_err();
@@ -161,7 +161,7 @@
         .map_err(|error| Error::new(Code::FileUnreadable, format!("{}: {error}", path.display())))
 }
 
-/// Reads the text of a settings file; an error names the field that it is about.
+/// Parses a settings file. An error starts with the path of the field at fault.
 pub fn parse<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
     let settings = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
@@ -175,12 +175,12 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads a settings file and checks its values.
     pub fn load(path: &Path) -> Result<Self> {
         Self::parse(&read_file(path)?)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses a settings file and checks its values.
     ///
     /// ```
     /// let error = cardamomvalve::settings::Settings::parse(b"{\"id\": 7}").unwrap_err();
@@ -226,7 +226,7 @@
 }
 
 impl Limits {
-    /// The bounds of an exchange with a backend server.
+    /// Limits of an exchange with a backend server.
     pub fn exchange(&self) -> crate::http::client::Limits {
         crate::http::client::Limits {
             connect_timeout: Duration::from_millis(self.connect_ms),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Settings: each error names the path, the value and what is allowed.
+//! Tests of settings. Each error names the path, the value and the allowed values.
 
 use serde_json::{Value, json};
 
@@ -33,7 +33,8 @@
     for (field, value, expected) in cases {
         let mut settings = valid();
         settings[field] = value;
-        let error = Settings::parse(settings.to_string().as_bytes()).expect_err("a fault");
+        let error =
+            Settings::parse(settings.to_string().as_bytes()).expect_err("the settings are invalid");
         assert_eq!(error.code, Code::SettingsInvalid);
         assert!(error.detail.starts_with(expected), "{expected}: {}", error.detail);
     }
