--- a/src/clients/log.rs
+++ b/src/clients/log.rs
@@ -1,4 +1,4 @@
-//! The log service: append-only streams with offsets.
+//! Client for the log service, which holds append-only streams of records with offsets.
 
 use std::net::SocketAddr;
 
@@ -10,48 +10,48 @@
 use crate::http::client::{Failure, Stage, send_json};
 use crate::prelude::*;
 
-/// Records that one read returns at most.
-pub const READ_LIMIT: u32 = 1_000;
-/// Milliseconds that a read waits for a new record.
-pub const WAIT_MS: u32 = 1_000;
+/// Maximum number of records that one read returns.
+pub const MAX_READ_RECORDS: u32 = 1_000;
+/// Maximum time for which a read waits for a new record.
+pub const MAX_WAIT_MS: u32 = 1_000;
 
-/// The answer to a read, on the wire.
+/// Wire form of the answer to a read.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Page {
-    /// The oldest offset that the log still has.
+    /// The oldest offset that the log still holds.
     pub first: u64,
     /// The offset after the newest record.
     pub next: u64,
-    /// Seconds for which the log keeps records.
+    /// Time for which the log keeps records.
     pub retention_s: u64,
     /// Records in ascending order of offset.
-    pub records: Vec<Line>,
+    pub records: Vec<Entry>,
 }
 
-/// One record, on the wire.
+/// Wire form of a record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Line {
+pub struct Entry {
     /// Its offset.
     pub offset: u64,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// Time of the append on the log's clock.
     pub time_ms: u64,
     /// Its text.
     pub text: String,
 }
 
-/// The answer to an append, on the wire.
+/// Wire form of the answer to an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Landed {
+pub struct Ack {
     /// The record's offset.
     pub offset: u64,
 }
 
 impl From<Page> for Read {
     fn from(page: Page) -> Self {
-        let records = page.records.into_iter().map(|line| Record {
-            offset: line.offset,
-            time_ms: line.time_ms,
-            text: line.text,
+        let records = page.records.into_iter().map(|entry| Record {
+            offset: entry.offset,
+            time_ms: entry.time_ms,
+            text: entry.text,
         });
         Self {
             first: page.first,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads `stream` from offset `from`, waiting up to `wait_ms` for a record.
+/// Reads `stream` from offset `from`. Waits up to `wait_ms` for a record.
 pub async fn read(
     address: SocketAddr,
     stream: Stream,
@@ -70,12 +70,13 @@
     wait_ms: u32,
 ) -> Result<Read, String> {
     let name = stream.as_str();
-    let path = format!("/streams/{name}/records?from={from}&limit={READ_LIMIT}&wait_ms={wait_ms}");
+    let path =
+        format!("/streams/{name}/records?from={from}&limit={MAX_READ_RECORDS}&wait_ms={wait_ms}");
     let page: Page = read_json(address, &path, "the log service").await?;
     Ok(page.into())
 }
 
-/// Appends a record to `stream`; on success its offset.
+/// Appends a record to `stream` and returns its offset.
 pub async fn append(
     address: SocketAddr,
     stream: Stream,
@@ -84,8 +85,8 @@
     let path = format!("/streams/{}/records", stream.as_str());
     match send_json(address, Method::Post, &path, Some(text), LIMITS).await {
         Ok((StatusCode::Created, body)) => {
-            let landed: Result<Landed, _> = serde_json::from_slice(&body);
-            landed.map(|landed| landed.offset).map_err(|_| AppendResult::Unknown)
+            let ack: Result<Ack, _> = serde_json::from_slice(&body);
+            ack.map(|ack| ack.offset).map_err(|_| AppendResult::Unknown)
         }
         Ok((StatusCode::TooManyRequests | StatusCode::ServiceUnavailable, _)) => {
             Err(AppendResult::Refused)
--- a/src/daemon/carrier.rs
+++ b/src/daemon/runner.rs
@@ -1,4 +1,4 @@
-//! Carries a node's effects out on the traffic threads, and sends back what came of them.
+//! Executes a node's effects on the traffic threads and sends their results back to the node.
 
 use std::net::SocketAddr;
 
@@ -15,25 +15,25 @@
 use crate::relay;
 use crate::telemetry::emit;
 
-/// Carries effects out.
-pub(super) struct Carrier {
+/// Executes effects.
+pub(super) struct Runner {
     pub(super) executor: Arc<Executor<'static>>,
     pub(super) control: Control,
     pub(super) log_service: SocketAddr,
     pub(super) links: Links,
 }
 
-impl Carrier {
-    /// Carries one effect out; those for requests and the manifest are not its own.
-    pub(super) fn carry(&mut self, effect: Effect) {
+impl Runner {
+    /// Starts one effect. The control thread itself handles commands and manifests.
+    pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Command(..) | Effect::UseManifest(_) => {}
             Effect::Append { number, text } => self.append(number, text),
             Effect::AppendLease(text) => self.append_lease(text),
-            Effect::Order { server, address, order } => self.order(server, address, &order),
+            Effect::Order { server, address, order } => self.send_order(server, address, &order),
             Effect::Checkpoint(text) => self.checkpoint(text),
             Effect::AppendBlocked(text) => self.append_blocked(text),
-            Effect::Probe(victim, address) => self.probe(victim, address),
+            Effect::Probe(incarnation, address) => self.probe(incarnation, address),
             Effect::Poll { server, address, from } => self.poll(server, address, from),
             Effect::Send(address, frame) => self.send(address, frame),
             Effect::Event(event, detail) => emit(event, detail),
@@ -52,7 +52,7 @@
         self.executor.spawn(append).detach();
     }
 
-    /// A lost answer needs no care: what counts is what is read.
+    /// Ignores the result, because a lease counts only once it is read from the stream.
     fn append_lease(&self, text: String) {
         let address = self.log_service;
         let append = async move {
@@ -61,14 +61,14 @@
         self.executor.spawn(append).detach();
     }
 
-    fn order(&self, server: membership::Key, address: SocketAddr, order: &Order) {
+    fn send_order(&self, server: membership::Key, address: SocketAddr, order: &Order) {
         let control = self.control.clone();
         let body = serde_json::to_string(order).unwrap_or_default();
-        let give = async move {
-            let accepted = clients::engine::order(address, body).await;
+        let sending = async move {
+            let accepted = clients::engine::send_order(address, body).await;
             control.tell(Message::Ordered(server, accepted));
         };
-        self.executor.spawn(give).detach();
+        self.executor.spawn(sending).detach();
     }
 
     fn checkpoint(&self, text: String) {
@@ -80,7 +80,7 @@
         self.executor.spawn(append).detach();
     }
 
-    /// What did not land is seen by its absence when the stream is read.
+    /// Ignores the result. Reading the stream shows whether the record was written.
     fn append_blocked(&self, text: String) {
         let address = self.log_service;
         let append = async move {
@@ -89,11 +89,11 @@
         self.executor.spawn(append).detach();
     }
 
-    fn probe(&self, victim: Incarnation, address: SocketAddr) {
+    fn probe(&self, incarnation: Incarnation, address: SocketAddr) {
         let control = self.control.clone();
         let probe = async move {
             let answer = relay::probe(address).await;
-            control.tell(Message::Probed(victim, answer));
+            control.tell(Message::Probed(incarnation, answer));
         };
         self.executor.spawn(probe).detach();
     }
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -112,7 +112,7 @@
         let prompt = completion.prompt.as_bytes();
         let deadline = options.deadline.unwrap_or(Duration::from_millis(model.default_deadline_ms));
         Ok(Arrival {
-            request: self.control.next_request(),
+            request: self.control.next_request_key(),
             workspace: workspace_name.to_owned(),
             share: workspace.share,
             target: Target::Model {
@@ -166,7 +166,7 @@
         let deadline =
             options.deadline.unwrap_or(Duration::from_millis(service.default_deadline_ms));
         Ok(Arrival {
-            request: self.control.next_request(),
+            request: self.control.next_request_key(),
             workspace: call.workspace.clone(),
             share: workspace.share,
             target: Target::Service { service: name.to_owned() },
@@ -231,7 +231,7 @@
     pub fn parse_query(&self, body: &[u8]) -> Result<Arrival> {
         let query: Query = serde_json::from_slice(body)
             .map_err(|error| Error::new(Code::MalformedRequest, error.to_string()))?;
-        let force = self.control.force().ok_or(Code::NoManifest)?;
+        let force = self.control.manifest_in_force().ok_or(Code::NoManifest)?;
         let body = serde_json::json!({ "model": query.model, "prompt": query.prompt });
         let completion = Completion::parse(super::openai::Kind::Text, body.to_string().as_bytes())?;
         let mut request = http_types::Request::new(http_types::Method::Get, "http://localhost/");
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,10 +1,10 @@
-//! Settings: each error names the path, the value and what is allowed.
+//! Tests of settings. Each error names the path, the value and the allowed values.
 
 use serde_json::{Value, json};
 
 use super::*;
 
-fn sound() -> Value {
+fn valid() -> Value {
     json!({
         "id": "router-0", "region": "r", "zone": "z",
         "listen": "127.0.0.1:0", "peer_listen": "127.0.0.1:0", "operators_listen": "127.0.0.1:0",
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn parse_sound() {
-    let settings = Settings::parse(sound().to_string().as_bytes()).expect("it is sound");
+fn parse_valid() {
+    let settings = Settings::parse(valid().to_string().as_bytes()).expect("the settings are valid");
     assert_eq!(settings.limits, Limits::default());
 }
 
@@ -31,9 +31,10 @@
         ("extra", json!(1), "extra: unknown field"),
     ];
     for (field, value, expected) in cases {
-        let mut settings = sound();
+        let mut settings = valid();
         settings[field] = value;
-        let error = Settings::parse(settings.to_string().as_bytes()).expect_err("a fault");
+        let error =
+            Settings::parse(settings.to_string().as_bytes()).expect_err("the settings are invalid");
         assert_eq!(error.code, Code::SettingsInvalid);
         assert!(error.detail.starts_with(expected), "{expected}: {}", error.detail);
     }
