--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -28,7 +28,7 @@
 fn manifest_of(workspaces: usize) -> serde_json::Value {
     let workspace = |index: usize| {
         let entry = json!({
-            "keys_sha256": [manifest::digest(&index.to_le_bytes())], "share": 1, "models": ["m"],
+            "keys_sha256": [manifest::sha256_hex(&index.to_le_bytes())], "share": 1, "models": ["m"],
             "default_priority": "normal", "highest_priority": "urgent",
         });
         (format!("workspace-{index}"), entry)
@@ -220,7 +220,7 @@
             service: "pay".into(),
             key: format!("key-{sequence:020}"),
         },
-        digest: manifest::digest(&sequence.to_le_bytes()),
+        digest: manifest::sha256_hex(&sequence.to_le_bytes()),
         window_s: 86_400,
     };
     let mut state = ledger::State::default();
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -2,7 +2,7 @@
 //! what one entry holds.
 
 use cardamomvalve::ledger::{Batch, ClaimId, Entry, Key as LedgerKey, Receipt, State};
-use cardamomvalve::manifest::digest;
+use cardamomvalve::manifest::sha256_hex;
 use cardamomvalve::prefix::{Key, Residency};
 use divan::{AllocProfiler, Bencher};
 
@@ -44,7 +44,7 @@
             Entry::Claim {
                 id: id.clone(),
                 key: key.clone(),
-                digest: digest(&number.to_le_bytes()),
+                digest: sha256_hex(&number.to_le_bytes()),
                 window_s: 86_400,
             },
             Entry::Outcome { id, key, receipt },
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -10,7 +10,7 @@
 use super::{check, pretty};
 use crate::clients::log;
 use crate::control::{AppendResult, Stream};
-use crate::manifest::{Body, FORMAT, Record, State, Verdict, difference};
+use crate::manifest::{Body, FORMAT, Record, State, Verdict, merge_patch};
 use crate::prelude::*;
 
 /// Pause between two reads of the log.
@@ -71,7 +71,7 @@
     /// is read back, so what is in force at the end does not tell.
     pub(super) fn fold(&mut self, offset: u64, text: &str) {
         if let Verdict::Accepted(force) = self.state.fold(offset, text)
-            && force.published == self.id
+            && force.record_id == self.id
         {
             self.won = Some(force.generation);
         }
@@ -80,14 +80,15 @@
 
 /// The whole manifest, or only what changes where that is shorter.
 fn smaller(state: &State, replaces: u64, manifest: Value) -> Body {
-    let patch = difference(&state.value(), &manifest);
+    let patch = merge_patch(&state.value(), &manifest);
     let changed = {
         let mut merged = state.value();
         json_patch::merge(&mut merged, &patch);
         merged == manifest
     };
     // A patch can't set a field to null; the whole manifest then says so.
-    if changed && state.force().is_some() && patch.to_string().len() < manifest.to_string().len() {
+    if changed && state.current().is_some() && patch.to_string().len() < manifest.to_string().len()
+    {
         return Body::Change { replaces, patch };
     }
     Body::Publish { replaces, manifest }
@@ -136,7 +137,7 @@
 }
 
 fn lost(state: &State, replaces: u64) -> Error {
-    let winner = state.force().map_or("none", |force| &force.published);
+    let winner = state.current().map_or("none", |force| &force.record_id);
     let detail = format!(
         "generation {} is in force, published as {winner}; this one replaces {replaces}",
         state.generation()
--- a/src/control/arrivals.rs
+++ b/src/control/arrivals.rs
@@ -83,7 +83,7 @@
     fn may_be_served_later(&self, request: attempt::Key) -> bool {
         let Some(state) = self.requests.get(&request) else { return false };
         let mut servers = self.membership.pool(&state.arrival.pool);
-        servers.any(|(_, server)| server.is_awaited_since(self.in_force_since))
+        servers.any(|(_, server)| server.awaits_poll_since(self.in_force_since))
     }
 
     /// Admits the requests that wait for engine reports again.
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -150,7 +150,7 @@
     /// Probe the address of a server that may have crashed.
     Probe(Incarnation, SocketAddr),
     /// Make traffic use this manifest.
-    UseManifest(Arc<manifest::Force>),
+    UseManifest(Arc<manifest::Revision>),
     /// Poll an engine.
     Poll {
         /// The engine.
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -266,10 +266,10 @@
 
     /// The manifest in force. `None` until all records that the first read found are folded or a peer has
     /// sent its manifest, since a partial fold may give a long superseded manifest.
-    pub(super) fn manifest_in_force(&self) -> Option<&Arc<manifest::Force>> {
+    pub(super) fn manifest_in_force(&self) -> Option<&Arc<manifest::Revision>> {
         let reading = self.readings.get(&Stream::Manifest).copied().unwrap_or_default();
         let known = reading.tail_at_start.is_some_and(|tail| self.manifest.next() >= tail);
-        self.manifest.force().filter(|_| known || self.has_peer_manifest)
+        self.manifest.current().filter(|_| known || self.has_peer_manifest)
     }
 
     /// The generation in force; 0 for none.
@@ -292,7 +292,7 @@
         for (_, server) in self.membership.iter() {
             let (known, waiting) = pools.entry(&server.vm.pool).or_default();
             *known |= server.is_known();
-            *waiting |= server.is_awaited();
+            *waiting |= server.awaits_first_report();
         }
         self.vm_list_known && pools.values().all(|(known, waiting)| *known || !*waiting)
     }
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Node, Stream};
 use crate::membership;
-use crate::order::{Order, Want, plan};
+use crate::order::{Order, Permissions, plan};
 use crate::prelude::*;
 
 /// Time after which an order that had no effect is sent again.
@@ -27,13 +27,13 @@
         self.pending_orders.retain(|_, at| now < *at + ORDER_RETRY_INTERVAL);
         let Some(fence) = self.lease.fence(now) else { return };
         let Some(force) = self.manifest_in_force().cloned() else { return };
-        let want = Want {
-            settled: self.lease.is_settled(now),
-            unload: self.may_unload(now, force.generation),
+        let permissions = Permissions {
+            allow_unfenced: self.lease.is_settled(now),
+            allow_unload: self.may_unload(now, force.generation),
         };
         let busy = self.pending_orders.keys().chain(self.unreported_orders.keys());
         let busy: BTreeSet<membership::Key> = busy.copied().collect();
-        for due in plan(&force.manifest, &self.membership, &busy, want) {
+        for due in plan(&force.manifest, &self.membership, &busy, permissions) {
             let Some(server) = self.membership.get(due.server) else { continue };
             let (id, address) = (server.vm.id.clone(), server.vm.address);
             self.pending_orders.insert(due.server, now);
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -44,7 +44,7 @@
         if !was_begun {
             self.record_prompt_computed(server, pending_tokens);
         }
-        self.membership.trust(server);
+        self.membership.reset_connect_failures(server);
         self.record_response(now, server);
         if let Some(cached) = cached_tokens
             && is_first_begin
@@ -100,7 +100,7 @@
             Outcome::Complete(_) => {
                 self.clear_suspect(now, request);
                 self.record_response(now, server);
-                return self.membership.trust(server);
+                return self.membership.reset_connect_failures(server);
             }
             Outcome::CallerGone => return self.event(Event::CallerGone, Detail::of("server", id)),
             Outcome::TooLarge | Outcome::Late => return,
@@ -112,7 +112,7 @@
                 );
             }
             Outcome::Unsent(reason) => {
-                self.membership.suspect(now, server);
+                self.membership.back_off(now, server);
                 self.event(
                     Event::AttemptFailed,
                     Detail::of("server", id).and("reason", reason.as_str()),
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -59,7 +59,7 @@
         let leaving = self
             .membership
             .iter()
-            .filter(|(_, server)| server.leaving)
+            .filter(|(_, server)| server.draining)
             .map(|(_, server)| server.vm.id.clone())
             .collect();
         Digest {
@@ -134,7 +134,7 @@
             return;
         }
         for id in &digest.draining_servers {
-            let notices = self.membership.leaves(id).into_iter().collect();
+            let notices = self.membership.mark_draining_by_id(id).into_iter().collect();
             self.apply_notices(now, notices);
         }
         // Only the first digest with a new generation counts, or repeats would cause a request at every tick.
@@ -160,11 +160,11 @@
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let slots: Vec<(&ledger::Key, &ledger::Slot)> = self.ledger.iter().collect();
         let force = self.manifest_in_force();
-        let json = |force: &Arc<manifest::Force>| serde_json::to_string(&force.manifest).ok();
+        let json = |force: &Arc<manifest::Revision>| serde_json::to_string(&force.manifest).ok();
         Snapshot {
             manifest_next: self.manifest.next(),
             generation: self.generation(),
-            published: force.map_or_else(String::new, |force| force.published.clone()),
+            published: force.map_or_else(String::new, |force| force.record_id.clone()),
             manifest: force.and_then(json).unwrap_or_default(),
             ledger_next: self.ledger.next(),
             ledger_time_ms: self.ledger.time_ms(),
@@ -178,7 +178,7 @@
         let mut merged = Vec::new();
         self.merge_blocks(now, &snapshot.blocked);
         if let Ok(manifest) = manifest::parse(snapshot.manifest.as_bytes()) {
-            let force = manifest::Force::new(snapshot.generation, snapshot.published, manifest);
+            let force = manifest::Revision::new(snapshot.generation, snapshot.published, manifest);
             let force = Arc::new(force);
             self.has_peer_manifest |= snapshot.generation >= self.manifest.generation();
             if self.manifest.merge(snapshot.manifest_next, Some(force)) {
--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -207,7 +207,7 @@
             id: format!("checkpoint-{}-{}", self.identity.id, self.identity.incarnation),
             body: manifest::Body::Checkpoint {
                 generation: force.generation,
-                published: force.published.clone(),
+                published: force.record_id.clone(),
                 manifest: serde_json::to_value(&force.manifest).unwrap_or_default(),
             },
         };
@@ -225,7 +225,7 @@
             self.event(Event::VmListUp, Detail::none());
         }
         self.vm_list_known = true;
-        let notices = self.membership.replace(vms);
+        let notices = self.membership.apply_vm_list(vms);
         self.apply_notices(now, notices);
     }
 
@@ -238,7 +238,7 @@
     pub(super) fn polled(&mut self, now: Time, key: membership::Key, report: membership::Report) {
         self.poll_ended(now, key);
         let former = self.incarnation(key);
-        let notices = self.membership.report(now, key, &report);
+        let notices = self.membership.apply_report(now, key, &report);
         if notices.contains(&Notice::Restarted(key)) {
             self.record_crash(now, former);
         }
@@ -254,7 +254,7 @@
 
     pub(super) fn poll_failed(&mut self, now: Time, key: membership::Key) {
         self.poll_ended(now, key);
-        let notices = self.membership.poll_failed(key).into_iter().collect();
+        let notices = self.membership.record_poll_failure(key).into_iter().collect();
         self.apply_notices(now, notices);
         self.retry_admission(now);
     }
@@ -265,7 +265,7 @@
         }
         let next = Poll::Due(now + self.policy.poll_interval);
         let Some(Poll::Sent(sent_at)) = self.polls.insert(key, next) else { return };
-        self.membership.asked(key, sent_at);
+        self.membership.record_poll_end(key, sent_at);
         match self.unreported_orders.get(&key) {
             Some(executed_at) if sent_at < *executed_at => self.poll_now(now, key),
             Some(_) => {
@@ -287,7 +287,7 @@
     pub(super) fn poll_awaited_engines(&mut self, now: Time, pool: &str) {
         for (key, server) in self.membership.pool(pool) {
             if let Some(poll @ Poll::Due(_)) = self.polls.get_mut(&key)
-                && server.is_awaited_since(self.in_force_since)
+                && server.awaits_poll_since(self.in_force_since)
             {
                 *poll = Poll::Due(now);
             }
@@ -302,7 +302,7 @@
                     self.server_added(now, key);
                     (Event::ServerAdded, key)
                 }
-                Notice::Leaving(key) => (Event::ServerLeaving, key),
+                Notice::Draining(key) => (Event::ServerLeaving, key),
                 Notice::Unreachable(key) => {
                     self.abort_attempts(key);
                     (Event::ServerUnreachable, key)
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -84,7 +84,7 @@
         else {
             return;
         };
-        if state.leaving {
+        if state.draining {
             return;
         }
         let pool = state.vm.pool.as_str();
--- a/src/control/tests/manifests.rs
+++ b/src/control/tests/manifests.rs
@@ -39,7 +39,7 @@
         let manifests_in_force: BTreeSet<Option<String>> = simulation
             .nodes
             .iter()
-            .map(|node| node.manifest.force().map(|force| force.published.clone()))
+            .map(|node| node.manifest.current().map(|force| force.record_id.clone()))
             .collect();
         assert_eq!(
             manifests_in_force.len(),
@@ -237,6 +237,6 @@
     simulation.append_record(Stream::Manifest, publish_record("broken", 1, broken));
     simulation.append_record(Stream::Manifest, publish_record("sound", 1, manifest_value("v2")));
     simulation.settle();
-    let force = simulation.nodes[0].manifest.force().expect("a manifest is in force");
-    assert_eq!((force.generation, force.published.as_str()), (2, "sound"));
+    let force = simulation.nodes[0].manifest.current().expect("a manifest is in force");
+    assert_eq!((force.generation, force.record_id.as_str()), (2, "sound"));
 }
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -11,7 +11,7 @@
 use super::carrier::Carrier;
 use crate::attempt::{self, Arrival, Command};
 use crate::control::{CandidateStatus, Effect, Message, Node, Status, Stream};
-use crate::manifest::Force;
+use crate::manifest::Revision;
 use crate::prelude::*;
 
 /// Time between two ticks of the node.
@@ -46,7 +46,7 @@
 /// What other threads see of the node without asking it.
 #[derive(Debug, Default)]
 struct View {
-    force: RwLock<Option<Arc<Force>>>,
+    force: RwLock<Option<Arc<Revision>>>,
     ready: AtomicBool,
     draining: AtomicBool,
     drained: AtomicBool,
@@ -87,7 +87,7 @@
     }
 
     /// The manifest in force.
-    pub fn force(&self) -> Option<Arc<Force>> {
+    pub fn force(&self) -> Option<Arc<Revision>> {
         self.view.force.read().ok()?.clone()
     }
 
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -8,7 +8,7 @@
 use crate::attempt::{Arrival, Target};
 use crate::http::header;
 use crate::ledger;
-use crate::manifest::{self, Force, Model, Priority, Workspace};
+use crate::manifest::{self, Model, Priority, Revision, Workspace};
 use crate::poison::Fingerprint;
 use crate::prefix::{self, BYTES_PER_TOKEN, Prefix, Scope};
 use crate::prelude::*;
@@ -68,7 +68,7 @@
     Error::new(Code::HeaderInvalid, format!("{name}: expected {allowed}"))
 }
 
-fn workspace<'a>(force: &'a Force, name: &str) -> Result<&'a Workspace> {
+fn workspace<'a>(force: &'a Revision, name: &str) -> Result<&'a Workspace> {
     force.manifest.workspaces.get(name).ok_or_else(|| Code::WrongKey.into())
 }
 
@@ -78,7 +78,7 @@
 
 /// Finds a model by name and checks that the workspace may use it.
 pub(super) fn granted_model<'a>(
-    force: &'a Force,
+    force: &'a Revision,
     workspace_name: &str,
     name: &str,
 ) -> Result<&'a Model> {
@@ -94,7 +94,7 @@
     /// Builds the arrival of a completion.
     pub(super) fn completion_arrival(
         &self,
-        force: &Force,
+        force: &Revision,
         workspace_name: &str,
         headers: &Headers,
         arrived_at: Time,
@@ -205,7 +205,7 @@
 fn request_digest(method: &str, path: &str, body: &[u8]) -> String {
     let mut bytes = format!("{method} {path}\n").into_bytes();
     bytes.extend_from_slice(body);
-    manifest::digest(&bytes)
+    manifest::sha256_hex(&bytes)
 }
 
 /// Formats the id under which callers and engines see a request.
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -23,7 +23,7 @@
 use crate::daemon::Control;
 use crate::http::server::{self, Received};
 use crate::http::{Socket, client, header};
-use crate::manifest::Force;
+use crate::manifest::Revision;
 use crate::prelude::*;
 use crate::settings::{Limits, Settings};
 use crate::telemetry::metrics::Metrics;
@@ -47,7 +47,7 @@
 /// One caller's request, with the context that all routes need.
 struct Call {
     received: Received,
-    force: Arc<Force>,
+    force: Arc<Revision>,
     workspace: String,
     hop: Hop,
     arrived_at: Time,
@@ -154,15 +154,17 @@
     }
 
     /// Finds the workspace that owns the request's bearer key.
-    fn authenticate(&self, request: &Request) -> Result<(String, Arc<Force>)> {
+    fn authenticate(&self, request: &Request) -> Result<(String, Arc<Revision>)> {
         let force = self.control.force().ok_or(Code::NoManifest)?;
         let value = header::single(request.as_ref(), "authorization")?.ok_or(Code::MissingKey)?;
         let key = match value.split_once(' ') {
             Some((scheme, key)) if scheme.eq_ignore_ascii_case("bearer") => key.trim(),
             _ => return Err(Code::MissingKey.into()),
         };
-        let workspace =
-            force.owner(&crate::manifest::digest(key.as_bytes())).ok_or(Code::WrongKey)?.to_owned();
+        let workspace = force
+            .workspace_of_key(&crate::manifest::sha256_hex(key.as_bytes()))
+            .ok_or(Code::WrongKey)?
+            .to_owned();
         Ok((workspace, force))
     }
 }
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -12,7 +12,7 @@
 use crate::attempt::{self, Dispatch, Outcome};
 use crate::daemon::Control;
 use crate::http::server::Received;
-use crate::manifest::{self, Force};
+use crate::manifest::{self, Revision};
 use crate::membership;
 use crate::prelude::*;
 use crate::settings::Settings;
@@ -86,7 +86,7 @@
             body: b"payment".to_vec(),
             close: false,
         },
-        force: Arc::new(Force::new(1, String::new(), manifest)),
+        force: Arc::new(Revision::new(1, String::new(), manifest)),
         workspace: "w".into(),
         hop: Hop::first("entry", None),
         arrived_at: Time::ZERO,
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -13,15 +13,15 @@
 use serde::{Deserialize, Serialize};
 
 pub use checks::{Fault, parse};
-pub use record::{Body, Record, difference};
-pub use state::{Force, State, Verdict};
+pub use record::{Body, Record, merge_patch};
+pub use state::{Revision, State, Verdict};
 
 use crate::prelude::*;
 
 /// The version of the manifest's format and of its validation rules.
 pub const FORMAT: u32 = 1;
 /// Seconds for which an idempotency key is remembered when the manifest does not say.
-pub const DEFAULT_WINDOW_S: u64 = 86_400;
+pub const DEFAULT_IDEMPOTENCY_WINDOW_S: u64 = 86_400;
 
 /// Everything that operators decide.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -40,12 +40,12 @@
     /// Workspaces, by name.
     pub workspaces: BTreeMap<String, Workspace>,
     /// Seconds for which an idempotency key is remembered.
-    #[serde(default = "default_window")]
+    #[serde(default = "default_idempotency_window_s")]
     pub idempotency_window_s: u64,
 }
 
-fn default_window() -> u64 {
-    DEFAULT_WINDOW_S
+fn default_idempotency_window_s() -> u64 {
+    DEFAULT_IDEMPOTENCY_WINDOW_S
 }
 
 /// Limits of one pool of backend servers.
@@ -168,9 +168,9 @@
 /// The SHA-256 digest of `bytes` in hexadecimal.
 ///
 /// ```
-/// assert!(cardamomvalve::manifest::digest(b"key").starts_with("2c70e12b"));
+/// assert!(cardamomvalve::manifest::sha256_hex(b"key").starts_with("2c70e12b"));
 /// ```
-pub fn digest(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     use sha2::{Digest, Sha256};
     use std::fmt::Write;
     Sha256::digest(bytes).iter().fold(String::new(), |mut text, byte| {
--- a/src/manifest/record.rs
+++ b/src/manifest/record.rs
@@ -60,12 +60,12 @@
 /// The JSON merge patch (RFC 7396) that makes `after` of `before`.
 ///
 /// ```
-/// use cardamomvalve::manifest::difference;
+/// use cardamomvalve::manifest::merge_patch;
 /// use serde_json::json;
-/// let patch = difference(&json!({"a": 1, "b": 2}), &json!({"a": 1, "c": 3}));
+/// let patch = merge_patch(&json!({"a": 1, "b": 2}), &json!({"a": 1, "c": 3}));
 /// assert_eq!(patch, json!({"b": null, "c": 3}));
 /// ```
-pub fn difference(before: &Value, after: &Value) -> Value {
+pub fn merge_patch(before: &Value, after: &Value) -> Value {
     let (Value::Object(before), Value::Object(after)) = (before, after) else {
         return after.clone();
     };
@@ -75,9 +75,9 @@
     }
     for (key, value) in after {
         match before.get(key) {
-            Some(same) if same == value => {}
-            Some(other) => {
-                patch.insert(key.clone(), difference(other, value));
+            Some(old) if old == value => {}
+            Some(old) => {
+                patch.insert(key.clone(), merge_patch(old, value));
             }
             None => {
                 patch.insert(key.clone(), value.clone());
--- a/src/manifest/state.rs
+++ b/src/manifest/state.rs
@@ -10,32 +10,32 @@
 
 /// The manifest in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Force {
+pub struct Revision {
     /// Counts accepted manifests from 1.
     pub generation: u64,
     /// The id of the record that brought it into force.
-    pub published: String,
+    pub record_id: String,
     /// What operators decided.
     pub manifest: Manifest,
     /// The workspace of each key digest.
-    owners: BTreeMap<String, String>,
+    workspaces_by_key: BTreeMap<String, String>,
 }
 
-impl Force {
+impl Revision {
     /// Puts a checked manifest in force as `generation`.
-    pub fn new(generation: u64, published: String, manifest: Manifest) -> Self {
-        let mut owners = BTreeMap::new();
+    pub fn new(generation: u64, record_id: String, manifest: Manifest) -> Self {
+        let mut workspaces_by_key = BTreeMap::new();
         for (name, workspace) in &manifest.workspaces {
-            for digest in &workspace.keys_sha256 {
-                owners.insert(digest.clone(), name.clone());
+            for key_sha256 in &workspace.keys_sha256 {
+                workspaces_by_key.insert(key_sha256.clone(), name.clone());
             }
         }
-        Self { generation, published, manifest, owners }
+        Self { generation, record_id, manifest, workspaces_by_key }
     }
 
     /// The workspace that the key with this digest belongs to.
-    pub fn owner(&self, digest: &str) -> Option<&str> {
-        self.owners.get(digest).map(String::as_str)
+    pub fn workspace_of_key(&self, key_sha256: &str) -> Option<&str> {
+        self.workspaces_by_key.get(key_sha256).map(String::as_str)
     }
 }
 
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// It is now in force.
-    Accepted(Arc<Force>),
+    Accepted(Arc<Revision>),
     /// It names another generation than the one in force.
     Stale,
     /// Its manifest is not valid; the number of faults.
@@ -59,25 +59,25 @@
 /// The fold over the manifest stream.
 #[derive(Debug, Clone, Default)]
 pub struct State {
-    force: Option<Arc<Force>>,
+    current: Option<Arc<Revision>>,
     next: u64,
 }
 
 impl State {
     /// The manifest in force, if any.
-    pub fn force(&self) -> Option<&Arc<Force>> {
-        self.force.as_ref()
+    pub fn current(&self) -> Option<&Arc<Revision>> {
+        self.current.as_ref()
     }
 
     /// The manifest in force as JSON; null before the first.
     pub fn value(&self) -> Value {
-        let value = self.force.as_ref().map(|force| serde_json::to_value(&force.manifest));
+        let value = self.current.as_ref().map(|revision| serde_json::to_value(&revision.manifest));
         value.and_then(Result::ok).unwrap_or_default()
     }
 
     /// The generation in force; 0 before the first.
     pub fn generation(&self) -> u64 {
-        self.force.as_ref().map_or(0, |force| force.generation)
+        self.current.as_ref().map_or(0, |revision| revision.generation)
     }
 
     /// The offset of the next record to fold.
@@ -125,12 +125,12 @@
     }
 
     /// Takes over a peer's folded state, if it is ahead of this one.
-    pub fn merge(&mut self, next: u64, force: Option<Arc<Force>>) -> bool {
-        let generation = force.as_ref().map_or(0, |force| force.generation);
+    pub fn merge(&mut self, next: u64, revision: Option<Arc<Revision>>) -> bool {
+        let generation = revision.as_ref().map_or(0, |revision| revision.generation);
         if generation > self.generation() {
             // Records after the snapshot are folded again: against the new base they may differ.
             self.next = next;
-            self.force = force;
+            self.current = revision;
             return true;
         }
         if generation == self.generation() {
@@ -139,12 +139,12 @@
         false
     }
 
-    fn accept(&mut self, generation: u64, published: String, manifest: Value) -> Verdict {
+    fn accept(&mut self, generation: u64, record_id: String, manifest: Value) -> Verdict {
         match parse_value(manifest) {
             Ok(manifest) => {
-                let force = Arc::new(Force::new(generation, published, manifest));
-                self.force = Some(Arc::clone(&force));
-                Verdict::Accepted(force)
+                let revision = Arc::new(Revision::new(generation, record_id, manifest));
+                self.current = Some(Arc::clone(&revision));
+                Verdict::Accepted(revision)
             }
             Err(faults) => Verdict::Invalid(faults.len()),
         }
--- a/src/manifest/tests.rs
+++ b/src/manifest/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-fn sound() -> Value {
+fn valid_manifest() -> Value {
     json!({
         "format": 1,
         "pools": { "p": { "max_in_flight": 1, "max_waiting": 1 } },
@@ -28,11 +28,11 @@
 }
 
 #[test]
-fn parse_sound() {
-    let manifest = parse(sound().to_string().as_bytes()).expect("it is sound");
-    assert_eq!(manifest.idempotency_window_s, DEFAULT_WINDOW_S);
-    let again = serde_json::to_vec(&manifest).expect("it is written");
-    assert_eq!(parse(&again), Ok(manifest));
+fn parse_valid() {
+    let manifest = parse(valid_manifest().to_string().as_bytes()).expect("it is sound");
+    assert_eq!(manifest.idempotency_window_s, DEFAULT_IDEMPOTENCY_WINDOW_S);
+    let encoded = serde_json::to_vec(&manifest).expect("it is written");
+    assert_eq!(parse(&encoded), Ok(manifest));
 }
 
 #[test]
@@ -56,7 +56,7 @@
         ("/idempotency_window_s", json!(0), "idempotency_window_s"),
     ];
     for (pointer, value, path) in cases {
-        let mut manifest = sound();
+        let mut manifest = valid_manifest();
         let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
         manifest.pointer_mut(parent).expect("a parent")[field] = value;
         let faults = faults_of(&manifest);
@@ -66,7 +66,7 @@
 
 #[test]
 fn parse_names_all_faults_at_once() {
-    let mut manifest = sound();
+    let mut manifest = valid_manifest();
     manifest["pools"]["p"]["max_in_flight"] = json!(0);
     manifest["models"]["m"]["pool"] = json!("none");
     manifest["workspaces"]["w"]["share"] = json!("one");
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn parse_refuses_shared_key() {
-    let mut manifest = sound();
+fn parse_rejects_shared_key() {
+    let mut manifest = valid_manifest();
     manifest["workspaces"]["x"] = manifest["workspaces"]["w"].clone();
     assert_eq!(faults_of(&manifest), BTreeSet::from(["workspaces.x.keys_sha256".to_owned()]));
 }
@@ -95,26 +95,26 @@
     let patch = json!({ "workspaces": { "w": { "share": 7 } } });
     let change = |replaces| Body::Change { replaces, patch: patch.clone() };
     assert_eq!(fold(&mut state, change(1)), Verdict::Stale, "there is nothing to change yet");
-    fold(&mut state, Body::Publish { replaces: 0, manifest: sound() });
+    fold(&mut state, Body::Publish { replaces: 0, manifest: valid_manifest() });
     assert!(matches!(fold(&mut state, change(1)), Verdict::Accepted(_)));
-    let force = state.force().expect("it is in force");
-    assert_eq!((force.generation, force.manifest.workspaces["w"].share), (2, 7));
+    let current = state.current().expect("it is in force");
+    assert_eq!((current.generation, current.manifest.workspaces["w"].share), (2, 7));
     assert_eq!(fold(&mut state, change(1)), Verdict::Stale);
-    let broken = json!({ "models": { "m": { "pool": "none" } } });
-    let verdict = fold(&mut state, Body::Change { replaces: 2, patch: broken });
+    let invalid_patch = json!({ "models": { "m": { "pool": "none" } } });
+    let verdict = fold(&mut state, Body::Change { replaces: 2, patch: invalid_patch });
     assert_eq!(verdict, Verdict::Invalid(1));
     assert_eq!(state.generation(), 2);
 }
 
 quickcheck! {
-    fn difference_makes_after_of_before(before: Vec<(u8, u8)>, after: Vec<(u8, u8)>) -> bool {
+    fn merge_patch_turns_before_into_after(before: Vec<(u8, u8)>, after: Vec<(u8, u8)>) -> bool {
         let value = |pairs: &[(u8, u8)]| {
             let inner: BTreeMap<String, u8> =
                 pairs.iter().map(|(key, value)| (key.to_string(), *value)).collect();
             json!({ "inner": inner, "count": pairs.len() })
         };
         let (mut before, after) = (value(&before), value(&after));
-        let patch = difference(&before, &after);
+        let patch = merge_patch(&before, &after);
         json_patch::merge(&mut before, &patch);
         before == after
     }
@@ -128,11 +128,11 @@
         for (offset, text) in texts.iter().enumerate() {
             state.fold(offset as u64, text);
         }
-        state.next() == texts.len() as u64 && state.force().is_none()
+        state.next() == texts.len() as u64 && state.current().is_none()
     }
 
     fn mutated_manifest_never_panics(position: usize, byte: u8) -> bool {
-        let mut bytes = sound().to_string().into_bytes();
+        let mut bytes = valid_manifest().to_string().into_bytes();
         let position = position % bytes.len();
         bytes[position] = byte;
         parse(&bytes).is_ok() || !parse(&bytes).expect_err("faults").is_empty()
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -8,22 +8,22 @@
 use crate::prelude::*;
 
 /// Polls in a row that must fail before an engine counts as unreachable.
-const FAILED_POLLS: u32 = 2;
+const UNREACHABLE_POLL_FAILURES: u32 = 2;
 /// How long a server that could not be connected to is passed over, at first.
-const SUSPECT_BASE: Duration = Duration::from_millis(250);
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
 /// How long it is passed over at most.
-const SUSPECT_MAX: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 /// Prompt tokens a second assumed of an engine that has not reported.
-const ASSUMED_PREFILL: u32 = 8_000;
+const ASSUMED_PREFILL_TOKENS_PER_S: u32 = 8_000;
 
 /// Servers that were leaving, and are not listed, that are remembered at most.
-const MAX_LEFT: usize = 4_096;
+const MAX_UNLISTED_DRAINING: usize = 4_096;
 
 /// What an engine last reported of its load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
     /// When the report was read.
-    pub at: Time,
+    pub read_at: Time,
     /// Requests it generates for.
     pub running: u32,
     /// Requests it has queued.
@@ -42,7 +42,7 @@
     /// What the VM list says.
     pub vm: Vm,
     /// Whether any source said that it is leaving; never taken back for the same VM.
-    pub leaving: bool,
+    pub draining: bool,
     /// The incarnation it last reported; `None` before the first report.
     pub incarnation: Option<String>,
     /// Weights versions by model.
@@ -52,39 +52,39 @@
     /// The sequence number of the next cache event wanted.
     pub next_seq: u64,
     /// When it was asked for what it answered last, or did not answer; `None` before that.
-    asked_at: Option<Time>,
+    last_poll_sent_at: Option<Time>,
     failed_polls: u32,
-    suspect: u32,
-    suspect_until: Time,
+    connect_failures: u32,
+    backoff_until: Time,
 }
 
 impl Server {
     fn new(vm: Vm) -> Self {
         let load = Load {
-            at: Time::ZERO,
+            read_at: Time::ZERO,
             running: 0,
             waiting: 0,
             queued_tokens: 0,
-            prefill_tokens_per_s: ASSUMED_PREFILL,
+            prefill_tokens_per_s: ASSUMED_PREFILL_TOKENS_PER_S,
             import_ms: None,
         };
         Self {
             vm,
-            leaving: false,
+            draining: false,
             incarnation: None,
             weights: BTreeMap::new(),
             load,
             next_seq: 0,
-            asked_at: None,
+            last_poll_sent_at: None,
             failed_polls: 0,
-            suspect: 0,
-            suspect_until: Time::ZERO,
+            connect_failures: 0,
+            backoff_until: Time::ZERO,
         }
     }
 
     /// Whether it may be given new work.
     pub fn is_usable(&self, now: Time) -> bool {
-        self.is_known() && !self.leaving && self.is_reachable() && self.suspect_until <= now
+        self.is_known() && !self.draining && self.is_reachable() && self.backoff_until <= now
     }
 
     /// Whether it needs no report, or has reported.
@@ -93,21 +93,21 @@
     }
 
     /// Whether its first report has neither come nor failed.
-    pub fn is_awaited(&self) -> bool {
+    pub fn awaits_first_report(&self) -> bool {
         !self.is_known() && self.failed_polls == 0
     }
 
     /// Whether it may have what it did not report: it answers, stays, and was not asked at `since` or later.
-    pub fn is_awaited_since(&self, since: Time) -> bool {
+    pub fn awaits_poll_since(&self, since: Time) -> bool {
         self.vm.role == Role::ModelServer
-            && !self.leaving
+            && !self.draining
             && self.is_reachable()
-            && self.asked_at.is_none_or(|at| at < since)
+            && self.last_poll_sent_at.is_none_or(|at| at < since)
     }
 
     /// Whether its polls succeed.
     pub fn is_reachable(&self) -> bool {
-        self.failed_polls < FAILED_POLLS
+        self.failed_polls < UNREACHABLE_POLL_FAILURES
     }
 
     /// Whether it serves `weights` of `model`.
@@ -122,7 +122,7 @@
     /// It was added.
     Added(Key),
     /// It is leaving.
-    Leaving(Key),
+    Draining(Key),
     /// It is gone from the VM list.
     Removed(Key, String),
     /// It came back under a new incarnation.
@@ -143,7 +143,7 @@
     routers: BTreeMap<String, Vm>,
     /// Servers that are leaving and not listed, the last heard of at the end. An id is never used again, so
     /// whoever lists one of them as live is late.
-    left: VecDeque<String>,
+    unlisted_draining: VecDeque<String>,
 }
 
 impl State {
@@ -173,15 +173,15 @@
     }
 
     /// Takes over a new VM list.
-    pub fn replace(&mut self, vms: Vec<Vm>) -> Vec<Notice> {
+    pub fn apply_vm_list(&mut self, vms: Vec<Vm>) -> Vec<Notice> {
         let mut notices = Vec::new();
         let listed: BTreeSet<&str> = vms.iter().map(|vm| vm.id.as_str()).collect();
-        let gone: Vec<String> =
+        let removed: Vec<String> =
             self.ids.keys().filter(|id| !listed.contains(id.as_str())).cloned().collect();
-        for id in gone {
+        for id in removed {
             if let Some(key) = self.ids.remove(&id) {
-                if self.servers.remove(key).is_some_and(|server| server.leaving) {
-                    self.remember_left(&id);
+                if self.servers.remove(key).is_some_and(|server| server.draining) {
+                    self.remember_draining(&id);
                 }
                 notices.push(Notice::Removed(key, id));
             }
@@ -192,65 +192,65 @@
                 Role::Router => {
                     self.routers.insert(vm.id.clone(), vm);
                 }
-                Role::ModelServer | Role::ServiceServer => self.update(vm, &mut notices),
+                Role::ModelServer | Role::ServiceServer => self.apply_vm(vm, &mut notices),
             }
         }
         notices
     }
 
-    fn update(&mut self, vm: Vm, notices: &mut Vec<Notice>) {
-        let mut leaving = vm.standing == Standing::Leaving;
+    fn apply_vm(&mut self, vm: Vm, notices: &mut Vec<Notice>) {
+        let mut draining = vm.standing == Standing::Leaving;
         let Some(key) = self.ids.get(&vm.id).copied() else {
             let id = vm.id.clone();
-            leaving |= self.left.contains(&id);
+            draining |= self.unlisted_draining.contains(&id);
             let key = self.servers.insert(Server::new(vm));
             self.ids.insert(id, key);
             notices.push(Notice::Added(key));
-            if leaving {
-                notices.extend(self.mark_leaving(key));
+            if draining {
+                notices.extend(self.mark_draining(key));
             }
             return;
         };
         if let Some(server) = self.servers.get_mut(key) {
             server.vm = vm;
         }
-        if leaving {
-            notices.extend(self.mark_leaving(key));
+        if draining {
+            notices.extend(self.mark_draining(key));
         }
     }
 
     /// Notes that the server with this id is leaving, whether or not it is listed yet.
-    pub fn leaves(&mut self, id: &str) -> Option<Notice> {
+    pub fn mark_draining_by_id(&mut self, id: &str) -> Option<Notice> {
         let key = self.find(id);
         if key.is_none() {
-            self.remember_left(id);
+            self.remember_draining(id);
         }
-        self.mark_leaving(key?)
+        self.mark_draining(key?)
     }
 
-    fn remember_left(&mut self, id: &str) {
-        if self.left.iter().any(|left| left == id) {
+    fn remember_draining(&mut self, id: &str) {
+        if self.unlisted_draining.iter().any(|other| other == id) {
             return;
         }
-        self.left.push_back(id.to_owned());
-        if self.left.len() > MAX_LEFT {
-            self.left.pop_front();
+        self.unlisted_draining.push_back(id.to_owned());
+        if self.unlisted_draining.len() > MAX_UNLISTED_DRAINING {
+            self.unlisted_draining.pop_front();
         }
     }
 
     /// Notes that `key` is leaving, whoever said so.
-    pub fn mark_leaving(&mut self, key: Key) -> Option<Notice> {
+    pub fn mark_draining(&mut self, key: Key) -> Option<Notice> {
         let server = self.servers.get_mut(key)?;
-        if server.leaving {
+        if server.draining {
             return None;
         }
-        server.leaving = true;
-        Some(Notice::Leaving(key))
+        server.draining = true;
+        Some(Notice::Draining(key))
     }
 
     /// Takes over an engine's report. Its cache events are the caller's to fold, after the
     /// notices returned here.
-    pub fn report(&mut self, now: Time, key: Key, report: &Report) -> Vec<Notice> {
+    pub fn apply_report(&mut self, now: Time, key: Key, report: &Report) -> Vec<Notice> {
         let mut notices = Vec::new();
         let Some(server) = self.servers.get_mut(key) else {
             return notices;
@@ -259,26 +259,26 @@
             notices.push(Notice::Reachable(key));
         }
         server.failed_polls = 0;
-        server.suspect = 0;
-        server.suspect_until = Time::ZERO;
-        let renewed = server.incarnation.as_ref() != Some(&report.incarnation);
-        if renewed && server.incarnation.is_some() {
+        server.connect_failures = 0;
+        server.backoff_until = Time::ZERO;
+        let is_new_incarnation = server.incarnation.as_ref() != Some(&report.incarnation);
+        if is_new_incarnation && server.incarnation.is_some() {
             notices.push(Notice::Restarted(key));
         }
         server.incarnation = Some(report.incarnation.clone());
-        if renewed && report.from > 0 {
+        if is_new_incarnation && report.from > 0 {
             // Asked with the former incarnation's number: read the new one's events from 0.
             server.next_seq = 0;
         } else {
-            let lost = lost_events(report);
-            if lost > 0 {
-                notices.push(Notice::Gap(key, lost));
+            let missing = count_missing_events(report);
+            if missing > 0 {
+                notices.push(Notice::Gap(key, missing));
             }
             server.next_seq = report.next_seq;
         }
         server.weights.clone_from(&report.weights);
         server.load = Load {
-            at: now,
+            read_at: now,
             running: report.running,
             waiting: report.waiting,
             queued_tokens: report.queued_tokens,
@@ -286,56 +286,57 @@
             import_ms: report.import_ms.filter(|ms| ms.is_finite() && *ms >= 0.0),
         };
         if report.leaving {
-            notices.extend(self.mark_leaving(key));
+            notices.extend(self.mark_draining(key));
         }
         notices
     }
 
     /// Notes that a poll of `key` failed.
-    pub fn poll_failed(&mut self, key: Key) -> Option<Notice> {
+    pub fn record_poll_failure(&mut self, key: Key) -> Option<Notice> {
         let server = self.servers.get_mut(key)?;
         server.failed_polls = server.failed_polls.saturating_add(1);
-        (server.failed_polls == FAILED_POLLS).then_some(Notice::Unreachable(key))
+        (server.failed_polls == UNREACHABLE_POLL_FAILURES).then_some(Notice::Unreachable(key))
     }
 
     /// Notes that a poll of `key` ended that was sent at `at`.
-    pub fn asked(&mut self, key: Key, at: Time) {
+    pub fn record_poll_end(&mut self, key: Key, sent_at: Time) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.asked_at = Some(at);
+            server.last_poll_sent_at = Some(sent_at);
         }
     }
 
     /// Passes over `key` for a while: an attempt could not reach it.
-    pub fn suspect(&mut self, now: Time, key: Key) {
+    pub fn back_off(&mut self, now: Time, key: Key) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        let pause = SUSPECT_BASE.saturating_mul(1 << server.suspect.min(5)).min(SUSPECT_MAX);
-        server.suspect = server.suspect.saturating_add(1);
-        server.suspect_until = now + pause;
+        let backoff =
+            MIN_BACKOFF.saturating_mul(1 << server.connect_failures.min(5)).min(MAX_BACKOFF);
+        server.connect_failures = server.connect_failures.saturating_add(1);
+        server.backoff_until = now + backoff;
     }
 
     /// Ends the suspicion of `key`: an attempt succeeded.
-    pub fn trust(&mut self, key: Key) {
+    pub fn reset_connect_failures(&mut self, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.suspect = 0;
+            server.connect_failures = 0;
         }
     }
 }
 
 /// How many events between the number asked for and the newest are missing; events that do not
 /// belong there count as missing too.
-fn lost_events(report: &Report) -> u64 {
+fn count_missing_events(report: &Report) -> u64 {
     let expected = report.from..report.next_seq;
     let mut next = expected.start;
-    let mut lost = 0_u64;
+    let mut missing = 0_u64;
     for event in &report.events {
         if event.seq < next || event.seq >= expected.end {
-            lost = lost.saturating_add(1);
+            missing = missing.saturating_add(1);
             continue;
         }
-        lost = lost.saturating_add(event.seq - next);
+        missing = missing.saturating_add(event.seq - next);
         next = event.seq + 1;
     }
-    lost.saturating_add(expected.end.saturating_sub(next))
+    missing.saturating_add(expected.end.saturating_sub(next))
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn replace_adds_leaves_and_removes() {
+fn apply_vm_list_adds_drains_and_removes() {
     let mut state = State::default();
-    let added = state.replace(vec![vm("a", Standing::Live), vm("b", Standing::Leaving)]);
+    let added = state.apply_vm_list(vec![vm("a", Standing::Live), vm("b", Standing::Leaving)]);
     assert_eq!(added.len(), 3, "{added:?}");
     let b = state.find("b").expect("it is listed");
-    assert!(state.get(b).is_some_and(|server| server.leaving));
+    assert!(state.get(b).is_some_and(|server| server.draining));
     // A lagging list does not take leaving back, and a gone server's key finds nothing.
-    assert_eq!(state.replace(vec![vm("b", Standing::Live)]).len(), 1);
-    assert!(state.get(b).is_some_and(|server| server.leaving));
-    state.replace(Vec::new());
+    assert_eq!(state.apply_vm_list(vec![vm("b", Standing::Live)]).len(), 1);
+    assert!(state.get(b).is_some_and(|server| server.draining));
+    state.apply_vm_list(Vec::new());
     assert!(state.get(b).is_none() && state.find("b").is_none());
 }
 
@@ -45,24 +45,24 @@
 /// answer after that still had it as live: with its entry the router had forgotten that it leaves, and gave
 /// it new work.
 #[test]
-fn replace_remembers_what_left_while_the_list_goes_back() {
+fn apply_vm_list_older_after_removal_keeps_draining() {
     let mut state = State::default();
-    state.replace(vec![vm("a", Standing::Live), vm("b", Standing::Leaving)]);
-    state.replace(vec![vm("a", Standing::Live)]);
-    state.replace(vec![vm("a", Standing::Live), vm("b", Standing::Live)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live), vm("b", Standing::Leaving)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live), vm("b", Standing::Live)]);
     let b = state.find("b").expect("it is listed");
-    assert!(state.get(b).is_some_and(|server| server.leaving));
+    assert!(state.get(b).is_some_and(|server| server.draining));
     // One that was gone from a list and had not been leaving is in use again.
-    state.replace(vec![vm("b", Standing::Live)]);
-    state.replace(vec![vm("a", Standing::Live)]);
+    state.apply_vm_list(vec![vm("b", Standing::Live)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live)]);
     let a = state.find("a").expect("it is listed");
-    assert!(state.get(a).is_some_and(|server| !server.leaving));
+    assert!(state.get(a).is_some_and(|server| !server.draining));
 }
 
 #[test]
-fn report_tells_restart_and_gap() {
+fn apply_report_detects_restart_and_gap() {
     let mut state = State::default();
-    state.replace(vec![vm("a", Standing::Live)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live)]);
     let a = state.find("a").expect("it is listed");
     let cases = [
         (report("one", 0, 0..3, 3), vec![]),
@@ -73,47 +73,47 @@
         (report("two", 0, 0..1, 1), vec![]),
     ];
     for (report, expected) in cases {
-        assert_eq!(state.report(Time::ZERO, a, &report), expected, "{report:?}");
+        assert_eq!(state.apply_report(Time::ZERO, a, &report), expected, "{report:?}");
     }
 }
 
 #[test]
-fn report_after_restart_reads_from_zero() {
+fn apply_report_after_restart_requests_events_from_zero() {
     let mut state = State::default();
-    state.replace(vec![vm("a", Standing::Live)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live)]);
     let a = state.find("a").expect("it is listed");
-    state.report(Time::ZERO, a, &report("one", 0, 0..7, 7));
-    state.report(Time::ZERO, a, &report("two", 7, 0..0, 2));
+    state.apply_report(Time::ZERO, a, &report("one", 0, 0..7, 7));
+    state.apply_report(Time::ZERO, a, &report("two", 7, 0..0, 2));
     assert_eq!(state.get(a).map(|server| server.next_seq), Some(0));
 }
 
 #[test]
-fn suspect_passes_and_grows() {
+fn back_off_expires_and_grows() {
     let mut state = State::default();
-    state.replace(vec![vm("a", Standing::Live)]);
+    state.apply_vm_list(vec![vm("a", Standing::Live)]);
     let a = state.find("a").expect("it is listed");
-    state.report(Time::ZERO, a, &report("one", 0, 0..0, 0));
+    state.apply_report(Time::ZERO, a, &report("one", 0, 0..0, 0));
     let usable = |state: &State, ms| {
         state.get(a).is_some_and(|server| server.is_usable(Duration::from_millis(ms)))
     };
     assert!(usable(&state, 0));
-    state.suspect(Time::ZERO, a);
+    state.back_off(Time::ZERO, a);
     assert!(!usable(&state, 249) && usable(&state, 250));
-    state.suspect(Time::ZERO, a);
+    state.back_off(Time::ZERO, a);
     assert!(!usable(&state, 499) && usable(&state, 500));
-    state.poll_failed(a);
-    assert_eq!(state.poll_failed(a), Some(Notice::Unreachable(a)));
+    state.record_poll_failure(a);
+    assert_eq!(state.record_poll_failure(a), Some(Notice::Unreachable(a)));
     assert!(!usable(&state, 10_000));
 }
 
 quickcheck! {
-    fn replace_holds_what_is_listed(lists: Vec<Vec<u8>>) -> bool {
+    fn apply_vm_list_keeps_listed_servers(lists: Vec<Vec<u8>>) -> bool {
         let mut state = State::default();
         lists.iter().all(|list| {
             let ids: BTreeSet<String> = list.iter().map(|id| (id % 8).to_string()).collect();
-            state.replace(ids.iter().map(|id| vm(id, Standing::Live)).collect());
-            let held: BTreeSet<String> = state.iter().map(|(_, s)| s.vm.id.clone()).collect();
-            held == ids
+            state.apply_vm_list(ids.iter().map(|id| vm(id, Standing::Live)).collect());
+            let known: BTreeSet<String> = state.iter().map(|(_, s)| s.vm.id.clone()).collect();
+            known == ids
         })
     }
 }
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use plan::{Plan, Want, plan};
+pub use plan::{Assignment, Permissions, plan};
 
 /// One order to one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/order/plan.rs
+++ b/src/order/plan.rs
@@ -7,20 +7,20 @@
 
 /// Engines of one pool that load at a time: the weight store is rate-limited, and those that do
 /// not load go on serving.
-const MAX_LOADING: usize = 2;
+const MAX_LOADING_ENGINES: usize = 2;
 
 /// What the lease holder may do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Want {
+pub struct Permissions {
     /// Whether engines that do not check fencing numbers may be ordered.
-    pub settled: bool,
+    pub allow_unfenced: bool,
     /// Whether versions that the manifest no longer names may be unloaded.
-    pub unload: bool,
+    pub allow_unload: bool,
 }
 
 /// One order that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct Assignment {
     /// The engine.
     pub server: membership::Key,
     /// What it is to do.
@@ -32,52 +32,53 @@
     manifest: &Manifest,
     membership: &State,
     busy: &BTreeSet<membership::Key>,
-    want: Want,
-) -> Vec<Plan> {
-    let mut plans = Vec::new();
+    permissions: Permissions,
+) -> Vec<Assignment> {
+    let mut assignments = Vec::new();
     for (name, pool) in &manifest.pools {
-        if !pool.checks_fencing && !want.settled {
+        if !pool.checks_fencing && !permissions.allow_unfenced {
             continue;
         }
         let engines: Vec<(membership::Key, &membership::Server)> = membership
             .pool(name)
             .filter(|(_, server)| server.vm.role == Role::ModelServer)
-            .filter(|(_, server)| !server.leaving && server.is_reachable())
+            .filter(|(_, server)| !server.draining && server.is_reachable())
             .filter(|(_, server)| server.incarnation.is_some())
             .collect();
         let mut loading = engines.iter().filter(|(key, _)| busy.contains(key)).count();
         for (key, server) in engines.iter().filter(|(key, _)| !busy.contains(key)) {
-            let wanted = versions(manifest, name);
-            if let Some(load) = missing(&wanted, server) {
-                if loading < MAX_LOADING {
+            let wanted = wanted_versions(manifest, name);
+            if let Some(load) = load_missing(&wanted, server) {
+                if loading < MAX_LOADING_ENGINES {
                     loading += 1;
-                    plans.push(Plan { server: *key, action: load });
+                    assignments.push(Assignment { server: *key, action: load });
                 }
-            } else if want.unload
+            } else if permissions.allow_unload
                 && pool.checks_fencing
-                && let Some(unload) = surplus(&wanted, server)
+                && let Some(unload) = unload_surplus(&wanted, server)
             {
-                plans.push(Plan { server: *key, action: unload });
+                assignments.push(Assignment { server: *key, action: unload });
             }
         }
     }
-    plans
+    assignments
 }
 
 type Versions<'a> = BTreeMap<(&'a str, &'a str), Option<&'a str>>;
 
 /// The versions that engines of `pool` are to have, with their adapters.
-fn versions<'a>(manifest: &'a Manifest, pool: &str) -> Versions<'a> {
+fn wanted_versions<'a>(manifest: &'a Manifest, pool: &str) -> Versions<'a> {
     let models = manifest.models.iter().filter(|(_, model)| model.pool == pool);
     models
         .flat_map(|(name, model)| {
-            let all = std::iter::once(&model.weights).chain(&model.preload);
-            all.map(move |weights| ((name.as_str(), weights.as_str()), model.adapter.as_deref()))
+            let all_weights = std::iter::once(&model.weights).chain(&model.preload);
+            all_weights
+                .map(move |weights| ((name.as_str(), weights.as_str()), model.adapter.as_deref()))
         })
         .collect()
 }
 
-fn missing(wanted: &Versions<'_>, server: &membership::Server) -> Option<Action> {
+fn load_missing(wanted: &Versions<'_>, server: &membership::Server) -> Option<Action> {
     let ((model, weights), adapter) =
         wanted.iter().find(|((model, weights), _)| !server.serves(model, weights))?;
     Some(Action::Load {
@@ -87,7 +88,7 @@
     })
 }
 
-fn surplus(wanted: &Versions<'_>, server: &membership::Server) -> Option<Action> {
+fn unload_surplus(wanted: &Versions<'_>, server: &membership::Server) -> Option<Action> {
     let loaded = server
         .weights
         .iter()
--- a/src/order/tests.rs
+++ b/src/order/tests.rs
@@ -7,7 +7,7 @@
 use crate::membership::{Key, Report, Role, Standing, State, Vm};
 use crate::prelude::*;
 
-const ALL: Want = Want { settled: true, unload: true };
+const ALL_PERMISSIONS: Permissions = Permissions { allow_unfenced: true, allow_unload: true };
 
 fn manifest(checks_fencing: bool) -> Manifest {
     let text = serde_json::json!({
@@ -36,7 +36,7 @@
         zone: "z".into(),
         standing: Standing::Live,
     };
-    state.replace((0..5).map(vm).collect());
+    state.apply_vm_list((0..5).map(vm).collect());
     let keys: Vec<Key> = state.iter().map(|(key, _)| key).collect();
     let versions = versions.iter().map(|version| (*version).to_owned()).collect();
     let report = Report {
@@ -45,7 +45,7 @@
         ..Report::default()
     };
     for key in &keys {
-        state.report(Time::ZERO, *key, &report);
+        state.apply_report(Time::ZERO, *key, &report);
     }
     (state, keys)
 }
@@ -55,46 +55,49 @@
 }
 
 #[test]
-fn plan_loads_what_is_missing_few_at_a_time() {
+fn plan_loads_missing_versions_two_engines_at_a_time() {
     let (state, keys) = engines(&["v1"]);
-    let plans = plan(&manifest(true), &state, &BTreeSet::new(), ALL);
-    assert_eq!(plans.len(), 2);
-    assert!(plans.iter().all(|plan| plan.action == load("v2")));
+    let assignments = plan(&manifest(true), &state, &BTreeSet::new(), ALL_PERMISSIONS);
+    assert_eq!(assignments.len(), 2);
+    assert!(assignments.iter().all(|assignment| assignment.action == load("v2")));
     let busy = BTreeSet::from([keys[0]]);
-    assert_eq!(plan(&manifest(true), &state, &busy, ALL).len(), 1);
+    assert_eq!(plan(&manifest(true), &state, &busy, ALL_PERMISSIONS).len(), 1);
     let (state, _) = engines(&["v1", "v2"]);
-    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), ALL), []);
+    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), ALL_PERMISSIONS), []);
 }
 
 #[test]
-fn plan_unloads_only_where_it_is_safe() {
+fn plan_unloads_only_with_fencing_and_permission() {
     let (state, _) = engines(&["v0", "v1", "v2"]);
     let unload = Action::Unload { model: "m".into(), weights: "v0".into() };
-    let plans = plan(&manifest(true), &state, &BTreeSet::new(), ALL);
-    assert!(plans.len() == 5 && plans.iter().all(|plan| plan.action == unload), "{plans:?}");
-    let early = Want { unload: false, ..ALL };
-    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), early), []);
+    let assignments = plan(&manifest(true), &state, &BTreeSet::new(), ALL_PERMISSIONS);
+    assert!(
+        assignments.len() == 5 && assignments.iter().all(|assignment| assignment.action == unload),
+        "{assignments:?}"
+    );
+    let no_unload = Permissions { allow_unload: false, ..ALL_PERMISSIONS };
+    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), no_unload), []);
     // An engine that ignores fencing numbers could be told so by a former holder, late.
-    assert_eq!(plan(&manifest(false), &state, &BTreeSet::new(), ALL), []);
+    assert_eq!(plan(&manifest(false), &state, &BTreeSet::new(), ALL_PERMISSIONS), []);
 }
 
 #[test]
-fn plan_waits_for_former_holder_where_fences_are_ignored() {
+fn plan_skips_unfenced_engines_without_permission() {
     let (state, _) = engines(&["v1"]);
-    let unsettled = Want { settled: false, ..ALL };
-    assert_eq!(plan(&manifest(false), &state, &BTreeSet::new(), unsettled), []);
-    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), unsettled).len(), 2);
+    let no_unfenced = Permissions { allow_unfenced: false, ..ALL_PERMISSIONS };
+    assert_eq!(plan(&manifest(false), &state, &BTreeSet::new(), no_unfenced), []);
+    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), no_unfenced).len(), 2);
 }
 
 #[test]
-fn plan_leaves_leaving_and_silent_engines_alone() {
+fn plan_skips_draining_and_unreachable_engines() {
     let (mut state, keys) = engines(&["v1"]);
     for key in &keys[..3] {
-        state.mark_leaving(*key);
+        state.mark_draining(*key);
     }
     for key in &keys[3..] {
-        state.poll_failed(*key);
-        state.poll_failed(*key);
+        state.record_poll_failure(*key);
+        state.record_poll_failure(*key);
     }
-    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), ALL), []);
+    assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), ALL_PERMISSIONS), []);
 }
--- a/standin/tests/common/mod.rs
+++ b/standin/tests/common/mod.rs
@@ -11,7 +11,7 @@
 
 use async_io::block_on;
 use cardamomvalve::http::client::{self, Limits};
-use cardamomvalve::manifest::digest;
+use cardamomvalve::manifest::sha256_hex;
 use http_types::Method;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -451,12 +451,12 @@
         },
         "workspaces": {
             "lab": {
-                "keys_sha256": [digest(LAB.as_bytes())], "share": 1, "models": ["dga"],
+                "keys_sha256": [sha256_hex(LAB.as_bytes())], "share": 1, "models": ["dga"],
                 "services": ["pay", "samples", "receipts"],
                 "default_priority": "normal", "highest_priority": "urgent",
             },
             "court": {
-                "keys_sha256": [digest(COURT.as_bytes())], "share": 1, "models": ["fees"],
+                "keys_sha256": [sha256_hex(COURT.as_bytes())], "share": 1, "models": ["fees"],
                 "services": [], "default_priority": "normal", "highest_priority": "normal",
             },
         },
