--- a/src/manifest/checks.rs
+++ b/src/manifest/checks.rs
@@ -1,4 +1,4 @@
-//! Reading a manifest and finding everything that is wrong with it, not just the first.
+//! Parses and validates manifests, and reports all faults of a manifest at once.
 
 use std::fmt;
 
@@ -18,14 +18,14 @@
 const MANIFEST_FIELDS: [&str; 6] =
     ["format", "pools", "models", "services", "workspaces", "idempotency_window_s"];
 
-/// One thing wrong with a manifest or a settings file.
+/// An invalid value in a manifest or a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Where, as a path of JSON keys joined by dots.
+    /// Path of the value: JSON keys joined by dots.
     pub path: String,
-    /// What stands there.
+    /// The invalid value.
     pub value: String,
-    /// What is allowed there.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Reads a manifest; on failure every fault that was found.
+/// Parses and validates a manifest. An error contains all faults that were found.
 ///
 /// ```
 /// let faults = cardamomvalve::manifest::parse(b"{\"format\": 2}").unwrap_err();
@@ -52,7 +52,7 @@
     parse_value(value)
 }
 
-/// Reads a manifest from a JSON value; see [`parse`].
+/// Validates a manifest given as a JSON value; see [`parse`].
 pub fn parse_value(value: Value) -> Result<Manifest, Vec<Fault>> {
     let mut validator = Validator::default();
     let Value::Object(mut fields) = value else {
@@ -87,7 +87,7 @@
 #[derive(Default)]
 struct Validator {
     faults: Vec<Fault>,
-    /// Entries that could not be read, as `section.name`; references to them are not faults.
+    /// Entries that could not be deserialized, as `section.name`. References to them are not faults.
     unreadable: BTreeSet<String>,
 }
 
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -1,7 +1,7 @@
-//! What operators publish: workspaces, models, services and pools; and which record is in force.
+//! The manifest, in which operators define workspaces, models, services and pools.
 //!
-//! A record names the generation that it replaces and is accepted if and only if that is the one
-//! in force and its body is valid. So what is in force follows from the log's order alone.
+//! A record names the generation that it replaces. It is accepted if and only if this generation is
+//! in force and the body is valid, which makes the manifest in force depend on the log order alone.
 
 mod checks;
 mod record;
@@ -18,9 +18,9 @@
 
 use crate::prelude::*;
 
-/// The version of the manifest's format and of its validation rules.
+/// Version of the manifest format and of its validation rules.
 pub const FORMAT: u32 = 1;
-/// Seconds for which an idempotency key is remembered when the manifest does not say.
+/// Default for [`Manifest::idempotency_window_s`].
 pub const DEFAULT_IDEMPOTENCY_WINDOW_S: u64 = 86_400;
 
 /// Everything that operators decide.
@@ -142,10 +142,10 @@
 }
 
 impl Priority {
-    /// Every class, the most urgent first.
+    /// All classes, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Background];
 
-    /// The name in manifests and headers.
+    /// Returns the name in manifests and headers.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The class of this name.
+    /// Returns the class of this name, if any.
     ///
     /// ```
     /// use cardamomvalve::manifest::Priority;
@@ -165,7 +165,7 @@
     }
 }
 
-/// The SHA-256 digest of `bytes` in hexadecimal.
+/// Returns the SHA-256 hash of `bytes` in hexadecimal.
 ///
 /// ```
 /// assert!(cardamomvalve::manifest::sha256_hex(b"key").starts_with("2c70e12b"));
--- a/src/manifest/record.rs
+++ b/src/manifest/record.rs
@@ -1,4 +1,4 @@
-//! Records of the manifest stream on the log.
+//! Records of the manifest stream in the log, and the patches in them.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -8,38 +8,38 @@
 pub struct Record {
     /// Version of the record's format; 1.
     pub format: u32,
-    /// Chosen by the writer at random; tells its own record from others after a lost answer.
+    /// Random id by which the writer recognises its record when the log's answer was lost.
     pub id: String,
-    /// What the record says.
+    /// The payload.
     #[serde(flatten)]
     pub body: Body,
 }
 
-/// What a record of the manifest stream says.
+/// Payload of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Body {
-    /// An operator's new manifest.
+    /// A new manifest by an operator.
     Publish {
-        /// The generation that it replaces.
+        /// Generation that it replaces.
         replaces: u64,
-        /// The manifest, unchecked.
+        /// The manifest, not validated.
         manifest: Value,
     },
-    /// An operator's change of the manifest in force.
+    /// A change of the manifest in force by an operator.
     Change {
-        /// The generation that it changes.
+        /// Generation that it changes.
         replaces: u64,
-        /// What changes, as a JSON merge patch (RFC 7396).
+        /// The change, as a JSON merge patch (RFC 7396).
         patch: Value,
     },
-    /// The manifest in force, appended again before the log forgets it.
+    /// The manifest in force, appended again before its record leaves the retention of the log.
     Checkpoint {
-        /// Its generation.
+        /// Generation of the manifest.
         generation: u64,
-        /// The id of the record that brought it into force.
+        /// Id of the record that published it.
         published: String,
-        /// The manifest, as it was accepted.
+        /// The accepted manifest.
         manifest: Value,
     },
 }
@@ -50,14 +50,14 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a record; `None` where this release can't.
+    /// Decodes a record, or returns `None` if this release doesn't support it.
     pub fn decode(text: &str) -> Option<Self> {
         let record: Self = serde_json::from_str(text).ok()?;
         (record.format == super::FORMAT).then_some(record)
     }
 }
 
-/// The JSON merge patch (RFC 7396) that makes `after` of `before`.
+/// Returns the JSON merge patch (RFC 7396) that turns `before` into `after`.
 ///
 /// ```
 /// use cardamomvalve::manifest::merge_patch;
--- a/src/manifest/state.rs
+++ b/src/manifest/state.rs
@@ -1,4 +1,4 @@
-//! Which manifest is in force: a fold over the records in the log's order.
+//! Computes the manifest in force by folding the records in log order.
 
 use std::cmp::Ordering;
 
@@ -8,21 +8,21 @@
 use super::{Body, Manifest, Record};
 use crate::prelude::*;
 
-/// The manifest in force.
+/// An accepted manifest and its generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Revision {
-    /// Counts accepted manifests from 1.
+    /// Number of this manifest among the accepted ones, from 1.
     pub generation: u64,
-    /// The id of the record that brought it into force.
+    /// Id of the record that published it.
     pub record_id: String,
-    /// What operators decided.
+    /// The manifest itself.
     pub manifest: Manifest,
-    /// The workspace of each key digest.
+    /// Workspace by the SHA-256 hash of its key.
     workspaces_by_key: BTreeMap<String, String>,
 }
 
 impl Revision {
-    /// Puts a checked manifest in force as `generation`.
+    /// Creates the revision of a validated manifest.
     pub fn new(generation: u64, record_id: String, manifest: Manifest) -> Self {
         let mut workspaces_by_key = BTreeMap::new();
         for (name, workspace) in &manifest.workspaces {
@@ -33,30 +33,30 @@
         Self { generation, record_id, manifest, workspaces_by_key }
     }
 
-    /// The workspace that the key with this digest belongs to.
+    /// Returns the workspace that the key with this SHA-256 hash belongs to.
     pub fn workspace_of_key(&self, key_sha256: &str) -> Option<&str> {
         self.workspaces_by_key.get(key_sha256).map(String::as_str)
     }
 }
 
-/// What became of one record.
+/// Result of folding one record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is now in force.
+    /// The manifest of the record is now in force.
     Accepted(Arc<Revision>),
-    /// It names another generation than the one in force.
+    /// The record replaces another generation than the one in force.
     Stale,
-    /// Its manifest is not valid; the number of faults.
+    /// The manifest of the record is invalid; holds the number of faults.
     Invalid(usize),
-    /// It is a checkpoint of what is in force.
+    /// The record is a checkpoint of the manifest in force.
     Confirmed,
-    /// It was folded before, or is a checkpoint of what is no longer in force.
+    /// The record was folded before, or is a checkpoint of an earlier generation.
     Known,
-    /// It could not be read.
+    /// The record could not be decoded.
     Unreadable,
 }
 
-/// The fold over the manifest stream.
+/// State of the fold over the manifest stream.
 #[derive(Debug, Clone, Default)]
 pub struct State {
     current: Option<Arc<Revision>>,
@@ -64,33 +64,33 @@
 }
 
 impl State {
-    /// The manifest in force, if any.
+    /// Returns the revision in force, if any.
     pub fn current(&self) -> Option<&Arc<Revision>> {
         self.current.as_ref()
     }
 
-    /// The manifest in force as JSON; null before the first.
+    /// Returns the manifest in force as JSON, or null before the first.
     pub fn value(&self) -> Value {
         let value = self.current.as_ref().map(|revision| serde_json::to_value(&revision.manifest));
         value.and_then(Result::ok).unwrap_or_default()
     }
 
-    /// The generation in force; 0 before the first.
+    /// Returns the generation in force, or 0 before the first.
     pub fn generation(&self) -> u64 {
         self.current.as_ref().map_or(0, |revision| revision.generation)
     }
 
-    /// The offset of the next record to fold.
+    /// Returns the offset of the next record to fold.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Continues at `offset`, where the log no longer has what comes before it.
+    /// Skips the records before `offset`, which the log no longer has.
     pub fn skip_to(&mut self, offset: u64) {
         self.next = self.next.max(offset);
     }
 
-    /// Folds the record at `offset`; records before [`State::next`] are known already.
+    /// Folds the record at `offset`. Records before [`State::next`] are ignored.
     pub fn fold(&mut self, offset: u64, text: &str) -> Verdict {
         if offset < self.next {
             return Verdict::Known;
@@ -124,11 +124,11 @@
         }
     }
 
-    /// Takes over a peer's folded state, if it is ahead of this one.
+    /// Adopts a peer's state if its generation is higher. Returns whether it did.
     pub fn merge(&mut self, next: u64, revision: Option<Arc<Revision>>) -> bool {
         let generation = revision.as_ref().map_or(0, |revision| revision.generation);
         if generation > self.generation() {
-            // Records after the snapshot are folded again: against the new base they may differ.
+            // Records after the snapshot are folded again, since their verdicts may differ on the new base.
             self.next = next;
             self.current = revision;
             return true;
--- a/src/manifest/tests.rs
+++ b/src/manifest/tests.rs
@@ -1,4 +1,4 @@
-//! Manifests and their records: every fault named, no input that panics.
+//! Tests that parsing reports all faults of a manifest, and that no input causes a panic.
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
@@ -23,15 +23,15 @@
 }
 
 fn faults_of(value: &Value) -> BTreeSet<String> {
-    let faults = parse(value.to_string().as_bytes()).expect_err("it has faults");
+    let faults = parse(value.to_string().as_bytes()).expect_err("the manifest is invalid");
     faults.into_iter().map(|fault| fault.path).collect()
 }
 
 #[test]
 fn parse_valid() {
-    let manifest = parse(valid_manifest().to_string().as_bytes()).expect("it is sound");
+    let manifest = parse(valid_manifest().to_string().as_bytes()).expect("the manifest is valid");
     assert_eq!(manifest.idempotency_window_s, DEFAULT_IDEMPOTENCY_WINDOW_S);
-    let encoded = serde_json::to_vec(&manifest).expect("it is written");
+    let encoded = serde_json::to_vec(&manifest).expect("a manifest can be serialized");
     assert_eq!(parse(&encoded), Ok(manifest));
 }
 
@@ -57,8 +57,9 @@
     ];
     for (pointer, value, path) in cases {
         let mut manifest = valid_manifest();
-        let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
-        manifest.pointer_mut(parent).expect("a parent")[field] = value;
+        let (parent, field) = pointer.rsplit_once('/').expect("each JSON pointer contains a slash");
+        manifest.pointer_mut(parent).expect("each JSON pointer has an existing parent")[field] =
+            value;
         let faults = faults_of(&manifest);
         assert!(faults.contains(path), "{path} in {faults:?}");
     }
@@ -94,10 +95,10 @@
     let mut state = State::default();
     let patch = json!({ "workspaces": { "w": { "share": 7 } } });
     let change = |replaces| Body::Change { replaces, patch: patch.clone() };
-    assert_eq!(fold(&mut state, change(1)), Verdict::Stale, "there is nothing to change yet");
+    assert_eq!(fold(&mut state, change(1)), Verdict::Stale, "no manifest is in force yet");
     fold(&mut state, Body::Publish { replaces: 0, manifest: valid_manifest() });
     assert!(matches!(fold(&mut state, change(1)), Verdict::Accepted(_)));
-    let current = state.current().expect("it is in force");
+    let current = state.current().expect("a manifest is in force");
     assert_eq!((current.generation, current.manifest.workspaces["w"].share), (2, 7));
     assert_eq!(fold(&mut state, change(1)), Verdict::Stale);
     let invalid_patch = json!({ "models": { "m": { "pool": "none" } } });
@@ -135,6 +136,6 @@
         let mut bytes = valid_manifest().to_string().into_bytes();
         let position = position % bytes.len();
         bytes[position] = byte;
-        parse(&bytes).is_ok() || !parse(&bytes).expect_err("faults").is_empty()
+        parse(&bytes).is_ok() || !parse(&bytes).expect_err("parsing failed before").is_empty()
     }
 }
