--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -10,7 +10,7 @@
 use super::{check, pretty_json};
 use crate::clients::log;
 use crate::control::{AppendResult, Stream};
-use crate::manifest::{Body, FORMAT, Record, State, Verdict, difference};
+use crate::manifest::{Body, FORMAT, Record, State, Verdict, merge_patch};
 use crate::prelude::*;
 
 /// Time between two reads of the log.
@@ -72,7 +72,7 @@
     /// manifest before it is read back; the manifest in force at the end doesn't show it.
     pub(super) fn fold(&mut self, offset: u64, text: &str) {
         if let Verdict::Accepted(in_force) = self.state.fold(offset, text)
-            && in_force.published == self.id
+            && in_force.record_id == self.id
         {
             self.accepted = Some(in_force.generation);
         }
@@ -81,7 +81,7 @@
 
 /// Returns the patch from the manifest in force if it is shorter, otherwise the whole manifest.
 fn shorter_body(state: &State, replaces: u64, manifest: Value) -> Body {
-    let patch = difference(&state.value(), &manifest);
+    let patch = merge_patch(&state.value(), &manifest);
     let patch_suffices = {
         let mut merged = state.value();
         json_patch::merge(&mut merged, &patch);
@@ -89,7 +89,7 @@
     };
     // A JSON merge patch can't set a field to null; then the whole manifest is needed.
     if patch_suffices
-        && state.force().is_some()
+        && state.current().is_some()
         && patch.to_string().len() < manifest.to_string().len()
     {
         return Body::Change { replaces, patch };
@@ -143,7 +143,7 @@
 
 /// Returns the error that another publisher's manifest is in force.
 fn publish_lost(state: &State, replaces: u64) -> Error {
-    let winner = state.force().map_or("none", |in_force| &in_force.published);
+    let winner = state.current().map_or("none", |in_force| &in_force.record_id);
     let detail = format!(
         "generation {} is in force, published as {winner}; this manifest replaces {replaces}",
         state.generation()
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -11,7 +11,7 @@
 use super::runner::Runner;
 use crate::attempt::{self, Arrival, Command};
 use crate::control::{CandidateStatus, Effect, Message, Node, Status, Stream};
-use crate::manifest::Force;
+use crate::manifest::Revision;
 use crate::prelude::*;
 
 /// Time between two ticks of the node.
@@ -50,7 +50,7 @@
 /// State of the node that other threads read directly.
 #[derive(Debug, Default)]
 struct View {
-    manifest: RwLock<Option<Arc<Force>>>,
+    manifest: RwLock<Option<Arc<Revision>>>,
     ready: AtomicBool,
     draining: AtomicBool,
     drained: AtomicBool,
@@ -91,7 +91,7 @@
     }
 
     /// The manifest in force.
-    pub fn manifest_in_force(&self) -> Option<Arc<Force>> {
+    pub fn manifest_in_force(&self) -> Option<Arc<Revision>> {
         self.view.manifest.read().ok()?.clone()
     }
 
