--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -8,7 +8,7 @@
 use crate::manifest::Objective;
 use crate::membership::{self, Role, Server};
 use crate::peer;
-use crate::placement::{Ask, Candidate, Scored, choose};
+use crate::placement::{Candidate, Query, Score, choose};
 use crate::prefix::{BLOCK_TOKENS, Depth, Key, Prefix};
 use crate::prelude::*;
 
@@ -48,7 +48,7 @@
         now: Time,
         request: attempt::Key,
         free_only: bool,
-    ) -> Vec<Scored> {
+    ) -> Vec<Score> {
         let Some(state) = self.requests.get(&request) else {
             return Vec::new();
         };
@@ -70,21 +70,21 @@
             Target::Model { objective, .. } => objective,
             Target::Service { .. } => Objective::TimeToFirstToken,
         };
-        let ask = Ask {
+        let query = Query {
             prefix: &state.arrival.prefix,
-            tokens: state.arrival.prompt_tokens,
+            prompt_tokens: state.arrival.prompt_tokens,
             objective,
-            copies: self.max_copies(now, state.arrival.prefix.level(0), candidates.len()),
-            held: self.max_reachable_depth(&depth),
+            max_copies: self.max_copies(now, state.arrival.prefix.level_key(0), candidates.len()),
+            exportable_blocks: self.max_reachable_depth(&depth),
             free_only,
         };
-        choose(ask, &candidates)
+        choose(query, &candidates)
     }
 
     /// Number of leading blocks that each server holds or, by peers' digests, will soon hold.
     pub(super) fn cached_depth(&self, now: Time, prefix: &Prefix) -> Depth {
         let mut depth = self.residency.depth(&prefix.blocks);
-        let (Some(level), Some(end)) = (prefix.level(0), prefix.levels.first()) else {
+        let (Some(level), Some(end)) = (prefix.level_key(0), prefix.level_ends.first()) else {
             return depth;
         };
         let copies = self.live_peers(now).flat_map(|digest| &digest.copies);
@@ -140,9 +140,9 @@
             free,
             wait_ms: queue_ms + slot_ms,
             token_ms,
-            depth: depth.get(&key).copied().unwrap_or(0),
+            cached_blocks: depth.get(&key).copied().unwrap_or(0),
             import_ms: server.load.import_ms,
-            near: server.vm.zone == self.identity.zone,
+            same_zone: server.vm.zone == self.identity.zone,
         }
     }
 
@@ -196,7 +196,7 @@
         let prefill_tokens_per_s =
             self.membership.get(server).map_or(1, |s| s.load.prefill_tokens_per_s);
         let work_ms = f64::from(pending_tokens) * 1_000.0 / f64::from(prefill_tokens_per_s);
-        self.heat.note(now, level, work_ms + ANSWER_TOKEN_MS);
+        self.heat.record(now, level, work_ms + ANSWER_TOKEN_MS);
     }
 
     /// Records that a server has computed a request's prompt.
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -129,7 +129,7 @@
             (Target::Model { .. }, false) => state.arrival.prefix.blocks.clone(),
             _ => Vec::new(),
         };
-        let level = state.arrival.prefix.level(0);
+        let level = state.arrival.prefix.level_key(0);
         self.record_dispatch(now, server, pending_tokens, &blocks, level);
         self.command(request, Command::Dispatch(dispatch));
     }
--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -314,7 +314,7 @@
                     (Event::ServerRestarted, key)
                 }
                 Notice::Gap(key, lost) => {
-                    self.residency.lose(key, lost);
+                    self.residency.record_lost_events(key, lost);
                     (Event::CacheEventGap, key)
                 }
                 Notice::Removed(key, id) => {
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -4,7 +4,7 @@
 
 use super::{Counts, Node, Stream};
 use crate::attempt::{self, Arrival, Phase, Request};
-use crate::placement::Scored;
+use crate::placement::Score;
 use crate::prelude::*;
 use crate::telemetry::metrics::Figure;
 
@@ -176,7 +176,7 @@
         scored.into_iter().map(|scored| self.candidate_status(scored)).collect()
     }
 
-    fn candidate_status(&self, scored: Scored) -> CandidateStatus {
+    fn candidate_status(&self, scored: Score) -> CandidateStatus {
         let server = self.membership.get(scored.key);
         CandidateStatus {
             server: server.map_or_else(String::new, |server| server.vm.id.clone()),
--- a/src/control/tests/servers.rs
+++ b/src/control/tests/servers.rs
@@ -155,7 +155,7 @@
     let mut fixture = Fixture::new();
     let salt = root(Scope { workspace: "w", model: "m", weights: "v1", adapter: "" });
     let prefix = Prefix::new(salt, "p".repeat(8 * BLOCK_BYTES).as_bytes(), &[]);
-    let level = prefix.level(0).expect("the prefix has a level");
+    let level = prefix.level_key(0).expect("the prefix has a level");
     for (incarnation, expected_holders) in [("one", 1), ("two", 0)] {
         let copy = Copy { level, server: "engine-1".into(), incarnation: incarnation.into() };
         let digest = Digest { daemon: "router-9".into(), copies: vec![copy], ..Digest::default() };
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -273,7 +273,7 @@
 
     /// Maximum time for which a request may wait for a server.
     pub(super) fn max_wait(request: &Request) -> Duration {
-        request.arrival.route.target / MAX_WAIT_DIVISOR
+        request.arrival.route.target_latency / MAX_WAIT_DIVISOR
     }
 
     /// Maximum retry-after time of a request.
--- a/src/fleet/homes.rs
+++ b/src/fleet/homes.rs
@@ -106,7 +106,7 @@
     pub(super) fn note_heat(&mut self, now: Time, owner: &str, prompt: &Prompt) {
         let work_ms = unshared_ms(prompt) + f64::from(prompt.output) * ANSWER_TOKEN_MS;
         for part in shared_parts(&prompt.parts) {
-            self.heat.note(now, prefix::Key(salted_key(owner, part.id)), work_ms);
+            self.heat.record(now, prefix::Key(salted_key(owner, part.id)), work_ms);
         }
     }
 }
--- a/src/fleet/place.rs
+++ b/src/fleet/place.rs
@@ -203,7 +203,7 @@
         } else {
             MAX_ENGINE_WAIT_RATIO
         };
-        let max_wait_ms = request.arrival.route.target.as_secs_f64() * 1_000.0 * ratio;
+        let max_wait_ms = request.arrival.route.target_latency.as_secs_f64() * 1_000.0 * ratio;
         // A request waits for a home that will soon have room. If no home is usable, or it has
         // waited for one in vain, another idle engine reads the parts in time.
         let has_home = usable.iter().any(|(key, server)| {
@@ -305,13 +305,13 @@
 
     fn token_bytes(&self, pool: &str) -> f64 {
         let engine = self.table.as_ref().and_then(|table| table.engine(pool));
-        engine.map_or(0.0, |engine| engine.token_bytes as f64)
+        engine.map_or(0.0, |engine| engine.kv_token_bytes as f64)
     }
 
     /// Refills the allowance of the KV store's link.
     pub(super) fn refill_link(&mut self, now: Time) {
         let store = self.table.as_ref().and_then(|table| table.kv_store());
-        self.kv_link.refill(now, store.map_or(0, |store| store.link));
+        self.kv_link.refill(now, store.map_or(0, |store| store.link_bytes_per_s));
     }
 
     /// Cost of a start on this version; `None` if it may no longer be used, or if this daemon has
--- a/src/fleet/request.rs
+++ b/src/fleet/request.rs
@@ -74,7 +74,7 @@
     /// Returns whether it may be resent although a server may have run it.
     pub(super) fn may_repeat(&self) -> bool {
         let route = &self.arrival.route;
-        route.repeat != Repeat::AtMostOnce && self.possible_runs < route.attempts
+        route.repeat != Repeat::AtMostOnce && self.possible_runs < route.max_attempts
     }
 
     /// Returns whether it is queued at a scheduler or waits for its verdict.
--- a/src/fleet/residency/sources.rs
+++ b/src/fleet/residency/sources.rs
@@ -162,12 +162,12 @@
                 location: Location::Engine(*key),
                 address: server.entry.address,
                 tokens: held,
-                link_bytes_per_s: engine.link as f64,
+                link_bytes_per_s: engine.link_bytes_per_s as f64,
                 zone: server.entry.zone.clone(),
                 unconfirmed,
             })
         });
-        let token_bytes = engine.token_bytes as f64;
+        let token_bytes = engine.kv_token_bytes as f64;
         let mut sources: Vec<Source> =
             engines.filter(|source| source.tokens >= MIN_FETCH_TOKENS).collect();
         let rank = |source: &Source| match source.location {
@@ -196,7 +196,7 @@
             location: Location::Store,
             address: store.address,
             tokens,
-            link_bytes_per_s: store.link as f64,
+            link_bytes_per_s: store.link_bytes_per_s as f64,
             zone: store.zone.clone(),
             unconfirmed: false,
         })
@@ -227,7 +227,8 @@
         let store = table.kv_store().filter(|_| self.kv_store.is_up(now))?;
         let parts = shared_parts(&prompt.parts);
         let is_missing = parts.iter().any(|part| !self.kv_store.will_hold(now, salt, *part));
-        let bytes = f64::from(prompt.input) * table.engine(pool)?.token_bytes as f64 * zone_factor;
+        let bytes =
+            f64::from(prompt.input) * table.engine(pool)?.kv_token_bytes as f64 * zone_factor;
         let worthwhile =
             shared_tokens(prompt) >= MIN_FETCH_TOKENS && is_missing && self.kv_link.has_room(bytes);
         worthwhile.then_some((store.address, bytes))
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -190,14 +190,14 @@
     let route = Route {
         name: submission.route,
         host: String::new(),
-        prefix: String::new(),
+        path_prefix: String::new(),
         repeat: submission.repeat,
         streams: submission.prompt.is_some(),
         timeout: submission.time_left,
-        target: submission.target,
+        target_latency: submission.target,
         priority: submission.priority,
         splits: vec![Split { pool: submission.pool.clone(), weight: 1 }],
-        attempts: submission.max_attempts,
+        max_attempts: submission.max_attempts,
         public: true,
     };
     let arrival = Arrival {
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -112,22 +112,27 @@
     Arc::new(Route {
         name: format!("to-{pool}"),
         host: "a.example".into(),
-        prefix: "/".into(),
+        path_prefix: "/".into(),
         repeat,
         streams: pool == "engines",
         timeout: Duration::from_secs(5),
-        target: Duration::from_millis(600),
+        target_latency: Duration::from_millis(600),
         priority: 1,
         splits: vec![Split { pool: pool.into(), weight: 1 }],
-        attempts,
+        max_attempts: attempts,
         public: true,
     })
 }
 
 fn table(version: u64) -> Table {
-    let engine =
-        Engine { slots: 48, kv_tokens: 100_000, token_bytes: 163_840, link: 16_250_000_000 };
-    let store = KvStore { address: address(200), zone: "zone-1".into(), link: 47_000_000_000 };
+    let engine = Engine {
+        slots: 48,
+        kv_capacity_tokens: 100_000,
+        kv_token_bytes: 163_840,
+        link_bytes_per_s: 16_250_000_000,
+    };
+    let store =
+        KvStore { address: address(200), zone: "zone-1".into(), link_bytes_per_s: 47_000_000_000 };
     let pool = |kind| Pool { kind, max_connections: 100 };
     let pools = BTreeMap::from([
         ("plain".into(), pool(Kind::Plain)),
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -32,33 +32,33 @@
     /// Milliseconds that one prompt token takes to compute.
     pub token_ms: f64,
     /// Leading blocks of the prefix that it is believed to hold.
-    pub depth: usize,
+    pub cached_blocks: usize,
     /// Milliseconds for the import of one block; `None` where it can't.
     pub import_ms: Option<f64>,
     /// Whether it is in this daemon's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// What is asked of placement.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// The request's prefix.
     pub prefix: &'a Prefix,
     /// Estimated prompt tokens.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// What is minimised first.
     pub objective: Objective,
     /// Servers that may hold a copy of the first level.
-    pub copies: usize,
+    pub max_copies: usize,
     /// Most leading blocks that any engine holds which can export them, a candidate or not.
-    pub held: usize,
+    pub exportable_blocks: usize,
     /// Whether only servers with a free slot are taken.
     pub free_only: bool,
 }
 
 /// One candidate with its cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Scored {
+pub struct Score {
     /// The server.
     pub key: membership::Key,
     /// Its place among the homes of the first level, from 0.
@@ -79,53 +79,63 @@
 
 /// Scores every candidate; the first is the choice. Equal costs go by rank, so the order is the
 /// same wherever the inputs are.
-pub fn choose(ask: Ask<'_>, candidates: &[Candidate]) -> Vec<Scored> {
-    let first = ask.prefix.level(0);
-    let second = ask.prefix.level(1);
+pub fn choose(query: Query<'_>, candidates: &[Candidate]) -> Vec<Score> {
+    let first = query.prefix.level_key(0);
+    let second = query.prefix.level_key(1);
     let ranks = ranks(first, candidates);
-    let best = candidates.iter().map(|candidate| candidate.depth).fold(ask.held, usize::max);
-    let nest = second.and_then(|level| nest_home(level, ask.copies, &ranks, candidates));
-    let nest_cold = ask.prefix.levels.get(1).is_some_and(|end| best < *end);
-    let mut scored: Vec<Scored> = candidates
+    let best = candidates
+        .iter()
+        .map(|candidate| candidate.cached_blocks)
+        .fold(query.exportable_blocks, usize::max);
+    let nest = second.and_then(|level| nest_home(level, query.max_copies, &ranks, candidates));
+    let nest_cold = query.prefix.level_ends.get(1).is_some_and(|end| best < *end);
+    let mut scored: Vec<Score> = candidates
         .iter()
         .zip(&ranks)
-        .filter(|(candidate, _)| candidate.free || !ask.free_only)
+        .filter(|(candidate, _)| candidate.free || !query.free_only)
         .map(|(candidate, rank)| {
             let off_nest = nest_cold && nest.is_some_and(|home| home != candidate.key);
-            score(ask, candidate, *rank, best, off_nest)
+            score(query, candidate, *rank, best, off_nest)
         })
         .collect();
     scored.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.rank.cmp(&b.rank)));
     scored
 }
 
-fn score(ask: Ask<'_>, candidate: &Candidate, rank: usize, best: usize, off_nest: bool) -> Scored {
-    let cached = (candidate.depth as u32).saturating_mul(BLOCK_TOKENS).min(ask.tokens);
-    let missing = best.saturating_sub(candidate.depth);
+fn score(
+    query: Query<'_>,
+    candidate: &Candidate,
+    rank: usize,
+    best: usize,
+    off_nest: bool,
+) -> Score {
+    let cached =
+        (candidate.cached_blocks as u32).saturating_mul(BLOCK_TOKENS).min(query.prompt_tokens);
+    let missing = best.saturating_sub(candidate.cached_blocks);
     let block_ms = f64::from(BLOCK_TOKENS) * candidate.token_ms;
     let import_ms = candidate.import_ms.filter(|ms| *ms < block_ms && missing > 0);
     let imported = if import_ms.is_some() { missing } else { 0 };
-    let computed = (ask.tokens - cached).saturating_sub(imported as u32 * BLOCK_TOKENS);
+    let computed = (query.prompt_tokens - cached).saturating_sub(imported as u32 * BLOCK_TOKENS);
     let work_ms =
         f64::from(computed) * candidate.token_ms + imported as f64 * import_ms.unwrap_or_default();
     let predicted_ms = candidate.wait_ms + work_ms;
-    let displacement = match ask.objective {
+    let displacement = match query.objective {
         Objective::WastedRecomputation => DISPLACEMENT_WASTE,
         Objective::TimeToFirstToken => DISPLACEMENT_FIRST_TOKEN,
     };
     let mut cost = predicted_ms + tokens(missing) * candidate.token_ms * displacement;
-    let levels = &ask.prefix.levels;
-    if rank >= ask.copies && candidate.depth == 0 {
+    let levels = &query.prefix.level_ends;
+    if rank >= query.max_copies && candidate.cached_blocks == 0 {
         let first = levels.first().copied().unwrap_or(0);
         cost += tokens(first) * candidate.token_ms * COPY_CHARGE;
     }
     if off_nest && let [first, second, ..] = levels[..] {
         cost += tokens(second - first) * candidate.token_ms * NEST_CHARGE;
     }
-    if !candidate.near {
+    if !candidate.same_zone {
         cost += ZONE_CHARGE_MS;
     }
-    Scored {
+    Score {
         key: candidate.key,
         rank,
         cached_tokens: cached,
--- a/src/placement/heat.rs
+++ b/src/placement/heat.rs
@@ -29,7 +29,7 @@
 
 impl Heat {
     /// Notes a request of `level` that takes `work_ms` of engine time.
-    pub fn note(&mut self, now: Time, level: Key, work_ms: f64) {
+    pub fn record(&mut self, now: Time, level: Key, work_ms: f64) {
         let gain = work_ms * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         let rate = self.own.entry(level).or_insert(Rate { per_s: 0.0, at: now });
         *rate = Rate { per_s: rate.now(now) + gain, at: now };
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -9,5 +9,5 @@
 #[cfg(test)]
 mod tests;
 
-pub use choose::{Ask, Candidate, Scored, choose};
+pub use choose::{Candidate, Query, Score, choose};
 pub use heat::Heat;
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -21,9 +21,9 @@
             free: true,
             wait_ms: 0.0,
             token_ms: 0.1,
-            depth: 0,
+            cached_blocks: 0,
             import_ms: None,
-            near: true,
+            same_zone: true,
         })
         .collect()
 }
@@ -33,13 +33,13 @@
     Prefix::new(Key(seed), &prompt, &[8 * BLOCK_BYTES, 12 * BLOCK_BYTES])
 }
 
-fn ask(prefix: &Prefix) -> Ask<'_> {
-    Ask {
+fn query(prefix: &Prefix) -> Query<'_> {
+    Query {
         prefix,
-        tokens: 3_072,
+        prompt_tokens: 3_072,
         objective: Objective::TimeToFirstToken,
-        copies: 1,
-        held: 0,
+        max_copies: 1,
+        exportable_blocks: 0,
         free_only: false,
     }
 }
@@ -49,12 +49,12 @@
     let servers = candidates(20);
     for seed in 0..50 {
         let prefix = prefix(seed);
-        let best = choose(ask(&prefix), &servers)[0];
+        let best = choose(query(&prefix), &servers)[0];
         assert_eq!(best.rank, 0);
         // The order in which a daemon lists the servers does not matter.
         let mut reversed = servers.clone();
         reversed.reverse();
-        assert_eq!(choose(ask(&prefix), &reversed)[0].key, best.key);
+        assert_eq!(choose(query(&prefix), &reversed)[0].key, best.key);
     }
 }
 
@@ -68,7 +68,7 @@
             for (index, candidate) in busy.iter_mut().enumerate() {
                 candidate.wait_ms = f64::from((load * 7 + index as u32 * 13) % 40 * 3);
             }
-            choose(Ask { copies: 4, ..ask(&prefix) }, &busy)[0].rank
+            choose(Query { max_copies: 4, ..query(&prefix) }, &busy)[0].rank
         })
         .collect();
     assert!(homes.iter().all(|rank| *rank < 4), "{homes:?}");
@@ -79,20 +79,20 @@
 fn choose_holder_unless_it_waits_longer() {
     let prefix = prefix(1);
     let mut servers = candidates(4);
-    let home = choose(ask(&prefix), &servers)[0].key;
+    let home = choose(query(&prefix), &servers)[0].key;
     let holder = servers.iter_mut().find(|candidate| candidate.key != home).expect("another");
-    holder.depth = 12;
+    holder.cached_blocks = 12;
     let holder = holder.key;
-    assert_eq!(choose(ask(&prefix), &servers)[0].key, holder);
+    assert_eq!(choose(query(&prefix), &servers)[0].key, holder);
     let wait = |servers: &mut Vec<Candidate>, ms| {
         let candidate = servers.iter_mut().find(|candidate| candidate.key == holder);
         candidate.expect("it is there").wait_ms = ms;
     };
     wait(&mut servers, 1_000.0);
-    assert_ne!(choose(ask(&prefix), &servers)[0].key, holder);
-    let waste = Ask { objective: Objective::WastedRecomputation, ..ask(&prefix) };
+    assert_ne!(choose(query(&prefix), &servers)[0].key, holder);
+    let waste = Query { objective: Objective::WastedRecomputation, ..query(&prefix) };
     wait(&mut servers, 900.0);
-    assert_ne!(choose(ask(&prefix), &servers)[0].key, holder);
+    assert_ne!(choose(query(&prefix), &servers)[0].key, holder);
     assert_eq!(choose(waste, &servers)[0].key, holder, "displacement weighs more there");
 }
 
@@ -100,12 +100,12 @@
 fn choose_import_rather_than_wait_or_compute() {
     let prefix = prefix(1);
     let mut servers = candidates(4);
-    servers[1].depth = 12;
+    servers[1].cached_blocks = 12;
     servers[1].wait_ms = 500.0;
     for candidate in &mut servers {
         candidate.import_ms = Some(5.0);
     }
-    let best = choose(ask(&prefix), &servers)[0];
+    let best = choose(query(&prefix), &servers)[0];
     assert_ne!(best.key, servers[1].key);
     assert_eq!(best.import_blocks, 12);
     assert_eq!(best.work_tokens, 600, "12 imports of 5 ms at 0.1 ms a token");
@@ -113,7 +113,7 @@
     for candidate in &mut servers {
         candidate.import_ms = Some(30.0);
     }
-    assert!(choose(ask(&prefix), &servers).iter().all(|scored| scored.import_blocks == 0));
+    assert!(choose(query(&prefix), &servers).iter().all(|scored| scored.import_blocks == 0));
 }
 
 #[test]
@@ -122,19 +122,19 @@
     let mut servers = candidates(2);
     servers[0].free = false;
     servers[1].free = false;
-    assert!(choose(Ask { free_only: true, ..ask(&prefix) }, &servers).is_empty());
-    assert_eq!(choose(ask(&prefix), &servers).len(), 2);
+    assert!(choose(Query { free_only: true, ..query(&prefix) }, &servers).is_empty());
+    assert_eq!(choose(query(&prefix), &servers).len(), 2);
 }
 
 #[test]
 fn heat_decays_and_is_bounded() {
     let mut heat = Heat::default();
-    heat.note(Time::ZERO, Key(1), 100.0);
+    heat.record(Time::ZERO, Key(1), 100.0);
     let start = heat.rate(Time::ZERO, Key(1));
     let later = heat.rate(Duration::from_secs(10), Key(1));
     assert!((later / start - 0.5).abs() < 1e-9);
     for level in 0..10_000 {
-        heat.note(Duration::from_secs(1), Key(level), 0.001);
+        heat.record(Duration::from_secs(1), Key(level), 0.001);
     }
     assert_eq!(heat.top(Duration::from_secs(1), usize::MAX).len().max(4_096), 4_096);
     assert_eq!(heat.top(Duration::from_secs(1), 1)[0].0, Key(1), "the hottest is kept");
@@ -145,9 +145,9 @@
     fn choose_moves_little(seed: u64, gone: u64) -> bool {
         let servers = candidates(10);
         let prefix = prefix(seed);
-        let before = choose(ask(&prefix), &servers)[0].key;
+        let before = choose(query(&prefix), &servers)[0].key;
         let gone = key(gone % 10);
         let fewer: Vec<Candidate> = servers.into_iter().filter(|c| c.key != gone).collect();
-        before == gone || choose(ask(&prefix), &fewer)[0].key == before
+        before == gone || choose(query(&prefix), &fewer)[0].key == before
     }
 }
--- a/src/prefix/mod.rs
+++ b/src/prefix/mod.rs
@@ -77,7 +77,7 @@
     /// Keys of the whole blocks, in order.
     pub blocks: Vec<Key>,
     /// Number of blocks at the end of each level, ascending, each at least 1.
-    pub levels: Vec<usize>,
+    pub level_ends: Vec<usize>,
 }
 
 impl Prefix {
@@ -85,21 +85,21 @@
     /// [`DEFAULT_LEVEL_BLOCKS`] blocks form one level.
     pub fn new(root: Key, prompt: &[u8], bounds: &[usize]) -> Self {
         let blocks = chain(root, prompt);
-        let mut levels: Vec<usize> = bounds
+        let mut level_ends: Vec<usize> = bounds
             .iter()
             .map(|bound| (bound / BLOCK_BYTES).min(blocks.len()))
             .filter(|level| *level > 0)
             .collect();
-        levels.dedup();
-        if levels.is_empty() && !blocks.is_empty() {
-            levels.push(DEFAULT_LEVEL_BLOCKS.min(blocks.len()));
+        level_ends.dedup();
+        if level_ends.is_empty() && !blocks.is_empty() {
+            level_ends.push(DEFAULT_LEVEL_BLOCKS.min(blocks.len()));
         }
-        Self { blocks, levels }
+        Self { blocks, level_ends }
     }
 
     /// The key of level `index`, counted from 0; `None` where there is no such level.
-    pub fn level(&self, index: usize) -> Option<Key> {
-        let end = *self.levels.get(index)?;
+    pub fn level_key(&self, index: usize) -> Option<Key> {
+        let end = *self.level_ends.get(index)?;
         self.blocks.get(end - 1).copied()
     }
 }
--- a/src/prefix/residency.rs
+++ b/src/prefix/residency.rs
@@ -83,7 +83,7 @@
     /// Notes that `count` events of `server` were lost: each may have been an eviction. Once they
     /// could have touched a quarter of what is believed, all of it is dropped; until then a wrong
     /// belief costs one computation, and a dropped one costs many.
-    pub fn lose(&mut self, server: membership::Key, count: u64) {
+    pub fn record_lost_events(&mut self, server: membership::Key, count: u64) {
         let lost = self.lost.entry(server).or_insert(0);
         *lost = lost.saturating_add(count);
         let held = self.held.get(&server).map_or(0, BTreeSet::len) as u64;
--- a/src/prefix/tests.rs
+++ b/src/prefix/tests.rs
@@ -31,12 +31,12 @@
 #[test]
 fn prefix_levels_by_bounds() {
     let prompt = vec![b'x'; 10 * BLOCK_BYTES];
-    let levels = |bounds: &[usize]| Prefix::new(Key(1), &prompt, bounds).levels;
+    let levels = |bounds: &[usize]| Prefix::new(Key(1), &prompt, bounds).level_ends;
     assert_eq!(levels(&[]), [DEFAULT_LEVEL_BLOCKS]);
     assert_eq!(levels(&[2 * BLOCK_BYTES, 5 * BLOCK_BYTES + 1]), [2, 5]);
     assert_eq!(levels(&[1, 2]), [DEFAULT_LEVEL_BLOCKS], "bounds within the first block");
     assert_eq!(levels(&[usize::MAX]), [10]);
-    assert_eq!(Prefix::new(Key(1), b"short", &[3]).level(0), None);
+    assert_eq!(Prefix::new(Key(1), b"short", &[3]).level_key(0), None);
 }
 
 /// Residency against the plainest model of it: a set of pairs.
@@ -80,14 +80,14 @@
         residency.insert(server(2), Key(block));
     }
     for _ in 0..9 {
-        residency.lose(server(1), 1);
+        residency.record_lost_events(server(1), 1);
     }
     assert_eq!(residency.len(), 80);
     assert!((residency.confidence(server(1)) - 31.0 / 40.0).abs() < 1e-9);
     assert!((residency.confidence(server(2)) - 1.0).abs() < 1e-9);
-    residency.lose(server(1), 1);
+    residency.record_lost_events(server(1), 1);
     assert_eq!(residency.len(), 40, "what was believed of the other stays");
-    residency.lose(server(2), u64::MAX);
+    residency.record_lost_events(server(2), u64::MAX);
     assert!(residency.is_empty());
 }
 
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -12,7 +12,7 @@
 use super::{Conn, Cut, Dialect, Fields, Metadata, Pool, Request};
 use crate::fleet::Control;
 use crate::prelude::*;
-use crate::route::{Found, Limits};
+use crate::route::{Limits, Lookup};
 use crate::telemetry::emit;
 use crate::telemetry::metrics::Metrics;
 
@@ -104,7 +104,7 @@
 /// Waits for the first byte of a request. Returns false if the connection should be closed.
 async fn wait_for_request(frontend: &Frontend, conn: &mut Conn, limits: Limits) -> bool {
     let idle = async {
-        Timer::after(limits.idle).await;
+        Timer::after(limits.idle_timeout).await;
         false
     };
     let shutdown = async {
@@ -117,11 +117,13 @@
 /// Reads a complete request. On failure, returns the code to answer with, if an answer is possible.
 async fn read_request(conn: &mut Conn, limits: Limits) -> Result<(Request, Vec<u8>), Option<Code>> {
     let expire = async {
-        Timer::after(limits.head_time).await;
+        Timer::after(limits.head_timeout).await;
         Err(Some(Code::HeadTimeout))
     };
     let read = async {
-        conn.read_request(limits.head_bytes).await.map_err(|cut| code_for(&cut, Code::HeadTooLarge))
+        conn.read_request(limits.max_head_bytes)
+            .await
+            .map_err(|cut| code_for(&cut, Code::HeadTooLarge))
     };
     let request = read.or(expire).await?;
     if request.fields.get("expect").is_some_and(|expect| expect.starts_with("100-")) {
@@ -133,7 +135,7 @@
     };
     let framing = request.framing;
     let read = async {
-        let body = conn.read_whole(framing, limits.body_bytes).await;
+        let body = conn.read_whole(framing, limits.max_body_bytes).await;
         body.map_err(|cut| code_for(&cut, Code::BodyTooLarge))
     };
     let body = read.or(expire).await?;
@@ -185,9 +187,9 @@
         }
     };
     let (route, workspace) = match found {
-        Found::Route(route, workspace) => (route, workspace),
-        Found::NoRoute | Found::NoWorkspace => {
-            let unknown = matches!(found, Found::NoRoute);
+        Lookup::Route(route, workspace) => (route, workspace),
+        Lookup::NoRoute | Lookup::NoWorkspace => {
+            let unknown = matches!(found, Lookup::NoRoute);
             let code = if unknown { Code::UnknownPath } else { Code::WrongKey };
             summary.record(&Outcome::Code(code, None));
             return answer_error(frontend, conn, code, None, error_fields).await;
--- a/src/relay/tests/delivery.rs
+++ b/src/relay/tests/delivery.rs
@@ -59,14 +59,14 @@
     let route = Route {
         name: "only".into(),
         host: "a.example".into(),
-        prefix: "/".into(),
+        path_prefix: "/".into(),
         repeat: Repeat::Resumable,
         streams,
         timeout: Duration::from_secs(20),
-        target: Duration::from_secs(1),
+        target_latency: Duration::from_secs(1),
         priority: 0,
         splits: vec![Split { pool: "engines".into(), weight: 1 }],
-        attempts: 2,
+        max_attempts: 2,
         public: true,
     };
     let table = Table::new(1, vec![route], BTreeMap::new(), Vec::new(), Limits::default());
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddr;
 
-pub use table::{Fault, Found, Table};
+pub use table::{Error, Lookup, Table};
 
 use crate::prelude::*;
 use crate::quota::Quota;
@@ -42,7 +42,7 @@
     /// The host that requests name, in lower case.
     pub host: String,
     /// The beginning of the path; begins and ends with a slash.
-    pub prefix: String,
+    pub path_prefix: String,
     /// What may be repeated.
     pub repeat: Repeat,
     /// Whether answers are streams of events.
@@ -50,13 +50,13 @@
     /// How long a request may be kept waiting for its answer.
     pub timeout: Duration,
     /// The time within which an answer is on time.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Its rank; 0 is the most urgent.
     pub priority: u8,
     /// The pools that share its traffic; at least one.
     pub splits: Vec<Split>,
     /// Backend servers that one request may be run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
 }
@@ -67,11 +67,11 @@
     /// Requests that one engine runs at a time.
     pub slots: u32,
     /// Tokens that one engine's memory holds.
-    pub kv_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Bytes of KV cache for one token.
-    pub token_bytes: u64,
+    pub kv_token_bytes: u64,
     /// Bytes a second over one engine's link.
-    pub link: u64,
+    pub link_bytes_per_s: u64,
 }
 
 /// A store that keeps KV cache.
@@ -82,7 +82,7 @@
     /// Its availability zone; empty where it is not known.
     pub zone: String,
     /// Bytes a second over its link.
-    pub link: u64,
+    pub link_bytes_per_s: u64,
 }
 
 /// What a pool consists of.
@@ -122,23 +122,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time for a request's head to arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time for which an idle connection is kept.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Bounds until the first configuration is read: 16 KiB, 4 MiB, 3 s and 15 s.
     fn default() -> Self {
         Self {
-            head_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -6,7 +6,7 @@
 
 /// Why a configuration can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault(pub String);
+pub struct Error(pub String);
 
 /// The routes, pools and workspaces of one configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -24,7 +24,7 @@
 
 /// What a request's host and path lead to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Found {
+pub enum Lookup {
     /// This route, for this workspace where the route asks for a key.
     Route(Arc<Route>, Option<Arc<Workspace>>),
     /// No route.
@@ -47,16 +47,16 @@
         pools: BTreeMap<String, Pool>,
         workspaces: Vec<(Workspace, Vec<String>)>,
         limits: Limits,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, Error> {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in routes {
             if route.splits.iter().all(|split| split.weight == 0) {
-                return Err(Fault(format!("route {} leads to no pool", route.name)));
+                return Err(Error(format!("route {} leads to no pool", route.name)));
             }
             hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
         for routes in hosts.values_mut() {
-            routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let mut keys = BTreeMap::new();
         let mut quotas = BTreeMap::new();
@@ -117,16 +117,16 @@
     }
 
     /// The route for `path` at `host`, and the workspace that `key` belongs to.
-    pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Found {
+    pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Lookup {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.hosts.get(&host).map(Vec::as_slice).unwrap_or_default();
-        let Some(route) = routes.iter().find(|route| path.starts_with(&route.prefix)) else {
-            return Found::NoRoute;
+        let Some(route) = routes.iter().find(|route| path.starts_with(&route.path_prefix)) else {
+            return Lookup::NoRoute;
         };
         let workspace = key.and_then(|key| self.keys.get(key)).cloned();
         if workspace.is_none() && !route.public && !self.keys.is_empty() {
-            return Found::NoWorkspace;
+            return Lookup::NoWorkspace;
         }
-        Found::Route(Arc::clone(route), workspace)
+        Lookup::Route(Arc::clone(route), workspace)
     }
 }
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -6,14 +6,14 @@
     Route {
         name: name.into(),
         host: host.into(),
-        prefix: prefix.into(),
+        path_prefix: prefix.into(),
         repeat: Repeat::Idempotent,
         streams: false,
         timeout: Duration::from_secs(2),
-        target: Duration::from_millis(100),
+        target_latency: Duration::from_millis(100),
         priority: 1,
         splits: vec![Split { pool: "plain".into(), weight: 1 }],
-        attempts: 2,
+        max_attempts: 2,
         public,
     }
 }
@@ -27,10 +27,10 @@
     (workspace, vec!["key-1".into()])
 }
 
-fn name(found: Found) -> Option<String> {
+fn name(found: Lookup) -> Option<String> {
     match found {
-        Found::Route(route, _) => Some(route.name.clone()),
-        Found::NoRoute | Found::NoWorkspace => None,
+        Lookup::Route(route, _) => Some(route.name.clone()),
+        Lookup::NoRoute | Lookup::NoWorkspace => None,
     }
 }
 
@@ -44,8 +44,8 @@
     let table = table(routes, Vec::new());
     assert_eq!(name(table.find("a.example", "/x/y/z/1", None)).as_deref(), Some("long"));
     assert_eq!(name(table.find("A.example:80", "/x/z", None)).as_deref(), Some("short"));
-    assert_eq!(table.find("a.example", "/z/", None), Found::NoRoute);
-    assert_eq!(table.find("c.example", "/x/", None), Found::NoRoute);
+    assert_eq!(table.find("a.example", "/z/", None), Lookup::NoRoute);
+    assert_eq!(table.find("c.example", "/x/", None), Lookup::NoRoute);
 }
 
 #[test]
@@ -54,13 +54,13 @@
         vec![route("open", "a.example", "/o/", true), route("kept", "a.example", "/k/", false)],
         vec![lab()],
     );
-    assert_eq!(table.find("a.example", "/k/", None), Found::NoWorkspace);
-    assert_eq!(table.find("a.example", "/k/", Some("key-2")), Found::NoWorkspace);
-    let Found::Route(_, Some(workspace)) = table.find("a.example", "/k/", Some("key-1")) else {
+    assert_eq!(table.find("a.example", "/k/", None), Lookup::NoWorkspace);
+    assert_eq!(table.find("a.example", "/k/", Some("key-2")), Lookup::NoWorkspace);
+    let Lookup::Route(_, Some(workspace)) = table.find("a.example", "/k/", Some("key-1")) else {
         panic!("the key belongs to a workspace");
     };
     assert_eq!(workspace.name, "lab");
-    assert!(matches!(table.find("a.example", "/o/", None), Found::Route(_, None)));
+    assert!(matches!(table.find("a.example", "/o/", None), Lookup::Route(_, None)));
 }
 
 #[test]
--- a/standin/src/replay/policy.rs
+++ b/standin/src/replay/policy.rs
@@ -1,7 +1,7 @@
 //! How requests are placed in a replay: by the daemons, by a baseline, or by an oracle.
 
 use cardamomvalve::manifest::Objective;
-use cardamomvalve::placement::{Ask, Candidate, choose};
+use cardamomvalve::placement::{Candidate, Query, choose};
 use cardamomvalve::prefix::Prefix;
 use clap::ValueEnum;
 use slotmap::KeyData;
@@ -98,7 +98,7 @@
             Some(if load(&two) < load(&one) { two } else { one })
         }
         Policy::ConsistentHash => {
-            let level = prefix.level(0).map_or(0, |key| key.0);
+            let level = prefix.level_key(0).map_or(0, |key| key.0);
             let weight = |index: &usize| {
                 xxh3_64(&[level.to_le_bytes(), (*index as u64).to_le_bytes()].concat())
             };
@@ -123,20 +123,20 @@
             free: true,
             wait_ms: engines[*index].wait_ms(job.priority),
             token_ms: TOKEN_US as f64 / 1_000.0,
-            depth: engines[*index].cache.depth(&job.blocks),
+            cached_blocks: engines[*index].cache.depth(&job.blocks),
             import_ms: Some(IMPORT_US as f64 / 1_000.0),
-            near: true,
+            same_zone: true,
         })
         .collect();
-    let ask = Ask {
+    let query = Query {
         prefix,
-        tokens: job.tokens,
+        prompt_tokens: job.tokens,
         objective,
-        copies: engines.len(),
-        held: 0,
+        max_copies: engines.len(),
+        exportable_blocks: 0,
         free_only: false,
     };
-    let best = choose(ask, &candidates).first()?.key;
+    let best = choose(query, &candidates).first()?.key;
     let place = candidates.iter().position(|candidate| candidate.key == best)?;
     up.get(place).copied()
 }
--- a/standin/src/replay/trace.rs
+++ b/standin/src/replay/trace.rs
@@ -56,7 +56,7 @@
                 levels.push(blocks.len());
             }
         }
-        Prefix { blocks, levels }
+        Prefix { blocks, level_ends: levels }
     }
 }
 
