--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -8,15 +8,15 @@
 
 /// What a token that a server has to store, and another holds, is charged besides its own work, in
 /// parts of its computation: it displaces another that may be wanted again. By objective.
-const DISPLACEMENT_WASTE: f64 = 8.0;
-const DISPLACEMENT_FIRST_TOKEN: f64 = 1.0;
+const DISPLACEMENT_FACTOR_WASTE: f64 = 8.0;
+const DISPLACEMENT_FACTOR_FIRST_TOKEN: f64 = 1.0;
 /// The part of the first level's prefill that a server off its homes is charged: a new copy
 /// displaces other blocks.
-const COPY_CHARGE: f64 = 0.5;
+const COPY_CHARGE_RATIO: f64 = 0.5;
 /// The part of the second level's prefill that a home is charged when another is that level's own.
-const NEST_CHARGE: f64 = 0.25;
+const SECOND_LEVEL_CHARGE_RATIO: f64 = 0.25;
 /// Milliseconds charged for a server in another availability zone.
-const ZONE_CHARGE_MS: f64 = 1.0;
+const CROSS_ZONE_CHARGE_MS: f64 = 1.0;
 
 /// One backend server as it looks to this daemon now.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -82,20 +82,23 @@
 pub fn choose(query: Query<'_>, candidates: &[Candidate]) -> Vec<Score> {
     let first = query.prefix.level_key(0);
     let second = query.prefix.level_key(1);
-    let ranks = ranks(first, candidates);
-    let best = candidates
+    let ranks = rendezvous_ranks(first, candidates);
+    let max_cached_blocks = candidates
         .iter()
         .map(|candidate| candidate.cached_blocks)
         .fold(query.exportable_blocks, usize::max);
-    let nest = second.and_then(|level| nest_home(level, query.max_copies, &ranks, candidates));
-    let nest_cold = query.prefix.level_ends.get(1).is_some_and(|end| best < *end);
+    let second_home =
+        second.and_then(|level| second_level_home(level, query.max_copies, &ranks, candidates));
+    let second_level_uncached =
+        query.prefix.level_ends.get(1).is_some_and(|end| max_cached_blocks < *end);
     let mut scored: Vec<Score> = candidates
         .iter()
         .zip(&ranks)
         .filter(|(candidate, _)| candidate.free || !query.free_only)
         .map(|(candidate, rank)| {
-            let off_nest = nest_cold && nest.is_some_and(|home| home != candidate.key);
-            score(query, candidate, *rank, best, off_nest)
+            let off_second_level_home =
+                second_level_uncached && second_home.is_some_and(|home| home != candidate.key);
+            score(query, candidate, *rank, max_cached_blocks, off_second_level_home)
         })
         .collect();
     scored.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.rank.cmp(&b.rank)));
@@ -106,40 +109,41 @@
     query: Query<'_>,
     candidate: &Candidate,
     rank: usize,
-    best: usize,
-    off_nest: bool,
+    max_cached_blocks: usize,
+    off_second_level_home: bool,
 ) -> Score {
-    let cached =
+    let cached_tokens =
         (candidate.cached_blocks as u32).saturating_mul(BLOCK_TOKENS).min(query.prompt_tokens);
-    let missing = best.saturating_sub(candidate.cached_blocks);
+    let missing_blocks = max_cached_blocks.saturating_sub(candidate.cached_blocks);
     let block_ms = f64::from(BLOCK_TOKENS) * candidate.token_ms;
-    let import_ms = candidate.import_ms.filter(|ms| *ms < block_ms && missing > 0);
-    let imported = if import_ms.is_some() { missing } else { 0 };
-    let computed = (query.prompt_tokens - cached).saturating_sub(imported as u32 * BLOCK_TOKENS);
-    let work_ms =
-        f64::from(computed) * candidate.token_ms + imported as f64 * import_ms.unwrap_or_default();
+    let import_ms = candidate.import_ms.filter(|ms| *ms < block_ms && missing_blocks > 0);
+    let imported_blocks = if import_ms.is_some() { missing_blocks } else { 0 };
+    let computed_tokens =
+        (query.prompt_tokens - cached_tokens).saturating_sub(imported_blocks as u32 * BLOCK_TOKENS);
+    let work_ms = f64::from(computed_tokens) * candidate.token_ms
+        + imported_blocks as f64 * import_ms.unwrap_or_default();
     let predicted_ms = candidate.wait_ms + work_ms;
     let displacement = match query.objective {
-        Objective::WastedRecomputation => DISPLACEMENT_WASTE,
-        Objective::TimeToFirstToken => DISPLACEMENT_FIRST_TOKEN,
+        Objective::WastedRecomputation => DISPLACEMENT_FACTOR_WASTE,
+        Objective::TimeToFirstToken => DISPLACEMENT_FACTOR_FIRST_TOKEN,
     };
-    let mut cost = predicted_ms + tokens(missing) * candidate.token_ms * displacement;
+    let mut cost = predicted_ms + block_tokens(missing_blocks) * candidate.token_ms * displacement;
     let levels = &query.prefix.level_ends;
     if rank >= query.max_copies && candidate.cached_blocks == 0 {
         let first = levels.first().copied().unwrap_or(0);
-        cost += tokens(first) * candidate.token_ms * COPY_CHARGE;
+        cost += block_tokens(first) * candidate.token_ms * COPY_CHARGE_RATIO;
     }
-    if off_nest && let [first, second, ..] = levels[..] {
-        cost += tokens(second - first) * candidate.token_ms * NEST_CHARGE;
+    if off_second_level_home && let [first, second, ..] = levels[..] {
+        cost += block_tokens(second - first) * candidate.token_ms * SECOND_LEVEL_CHARGE_RATIO;
     }
     if !candidate.same_zone {
-        cost += ZONE_CHARGE_MS;
+        cost += CROSS_ZONE_CHARGE_MS;
     }
     Score {
         key: candidate.key,
         rank,
-        cached_tokens: cached,
-        import_blocks: if imported > 0 { best } else { 0 },
+        cached_tokens,
+        import_blocks: if imported_blocks > 0 { max_cached_blocks } else { 0 },
         work_tokens: (work_ms / candidate.token_ms) as u32,
         predicted_ms,
         cost,
@@ -147,17 +151,17 @@
     }
 }
 
-fn tokens(blocks: usize) -> f64 {
+fn block_tokens(blocks: usize) -> f64 {
     blocks as f64 * f64::from(BLOCK_TOKENS)
 }
 
 /// The place of each candidate in the rendezvous order of `level`.
-fn ranks(level: Option<Key>, candidates: &[Candidate]) -> Vec<usize> {
+fn rendezvous_ranks(level: Option<Key>, candidates: &[Candidate]) -> Vec<usize> {
     let seed = level.map_or(0, |key| key.0);
     let mut order: Vec<(u64, usize)> = candidates
         .iter()
         .enumerate()
-        .map(|(index, candidate)| (weight(seed, candidate.hash), index))
+        .map(|(index, candidate)| (rendezvous_weight(seed, candidate.hash), index))
         .collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
     let mut ranks = vec![0; candidates.len()];
@@ -168,7 +172,7 @@
 }
 
 /// The home of the second level among the homes of the first.
-fn nest_home(
+fn second_level_home(
     level: Key,
     copies: usize,
     ranks: &[usize],
@@ -178,10 +182,10 @@
         .iter()
         .zip(ranks)
         .filter(|(_, rank)| **rank < copies)
-        .max_by_key(|(candidate, _)| weight(level.0, candidate.hash))
+        .max_by_key(|(candidate, _)| rendezvous_weight(level.0, candidate.hash))
         .map(|(candidate, _)| candidate.key)
 }
 
-fn weight(seed: u64, hash: u64) -> u64 {
+fn rendezvous_weight(seed: u64, hash: u64) -> u64 {
     xxh3_64_with_seed(&hash.to_le_bytes(), seed)
 }
--- a/src/placement/heat.rs
+++ b/src/placement/heat.rs
@@ -11,12 +11,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     per_s: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl Rate {
-    fn now(&self, now: Time) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+    fn decayed(&self, now: Time) -> f64 {
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.per_s * (-passed / HALF_LIFE.as_secs_f64()).exp2()
     }
 }
@@ -24,36 +24,37 @@
 /// Decaying rates of work by first level, in milliseconds of engine time a second.
 #[derive(Debug, Default)]
 pub struct Heat {
-    own: BTreeMap<Key, Rate>,
+    rates: BTreeMap<Key, Rate>,
 }
 
 impl Heat {
     /// Notes a request of `level` that takes `work_ms` of engine time.
     pub fn record(&mut self, now: Time, level: Key, work_ms: f64) {
         let gain = work_ms * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
-        let rate = self.own.entry(level).or_insert(Rate { per_s: 0.0, at: now });
-        *rate = Rate { per_s: rate.now(now) + gain, at: now };
-        if self.own.len() > MAX_LEVELS {
-            self.forget_coldest(now);
+        let rate = self.rates.entry(level).or_insert(Rate { per_s: 0.0, updated_at: now });
+        *rate = Rate { per_s: rate.decayed(now) + gain, updated_at: now };
+        if self.rates.len() > MAX_LEVELS {
+            self.evict_coldest(now);
         }
     }
 
     /// The rate of `level` on this daemon.
     pub fn rate(&self, now: Time, level: Key) -> f64 {
-        self.own.get(&level).map_or(0.0, |rate| rate.now(now))
+        self.rates.get(&level).map_or(0.0, |rate| rate.decayed(now))
     }
 
     /// The `count` hottest levels with their rates.
     pub fn top(&self, now: Time, count: usize) -> Vec<(Key, f64)> {
         let mut rates: Vec<(Key, f64)> =
-            self.own.iter().map(|(key, rate)| (*key, rate.now(now))).collect();
+            self.rates.iter().map(|(key, rate)| (*key, rate.decayed(now))).collect();
         rates.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         rates.truncate(count);
         rates
     }
 
-    fn forget_coldest(&mut self, now: Time) {
+    fn evict_coldest(&mut self, now: Time) {
         let kept = self.top(now, MAX_LEVELS / 2);
-        self.own = kept.into_iter().map(|(key, per_s)| (key, Rate { per_s, at: now })).collect();
+        self.rates =
+            kept.into_iter().map(|(key, per_s)| (key, Rate { per_s, updated_at: now })).collect();
     }
 }
--- a/src/prefix/residency.rs
+++ b/src/prefix/residency.rs
@@ -12,23 +12,23 @@
 pub type Depth = BTreeMap<membership::Key, usize>;
 
 /// Beliefs about a server are dropped once this part of them, as a divisor, may be wrong.
-const LOST_PART: u64 = 4;
+const CLEAR_THRESHOLD_DIVISOR: u64 = 4;
 
 /// Beliefs about the caches of all servers, bounded in entries.
 #[derive(Debug, Default)]
 pub struct Residency {
-    holders: BTreeMap<Key, Vec<membership::Key>>,
-    held: BTreeMap<membership::Key, BTreeSet<Key>>,
+    servers_by_block: BTreeMap<Key, Vec<membership::Key>>,
+    blocks_by_server: BTreeMap<membership::Key, BTreeSet<Key>>,
     /// Events of each server that were lost since its beliefs were last dropped.
-    lost: BTreeMap<membership::Key, u64>,
+    lost_events: BTreeMap<membership::Key, u64>,
     entries: usize,
-    limit: usize,
+    max_entries: usize,
 }
 
 impl Residency {
-    /// An empty table of at most `limit` entries of (block, server).
-    pub fn new(limit: usize) -> Self {
-        Self { limit, ..Self::default() }
+    /// An empty table of at most `max_entries` entries of (block, server).
+    pub fn new(max_entries: usize) -> Self {
+        Self { max_entries, ..Self::default() }
     }
 
     /// Number of (block, server) entries.
@@ -43,51 +43,51 @@
 
     /// Notes that `server` holds `block`. Ignored when the table is full.
     pub fn insert(&mut self, server: membership::Key, block: Key) {
-        if self.entries >= self.limit {
+        if self.entries >= self.max_entries {
             return;
         }
-        if self.held.entry(server).or_default().insert(block) {
-            self.holders.entry(block).or_default().push(server);
+        if self.blocks_by_server.entry(server).or_default().insert(block) {
+            self.servers_by_block.entry(block).or_default().push(server);
             self.entries += 1;
         }
     }
 
     /// Notes that `server` no longer holds `block`.
     pub fn remove(&mut self, server: membership::Key, block: Key) {
-        let Some(held) = self.held.get_mut(&server) else {
+        let Some(held) = self.blocks_by_server.get_mut(&server) else {
             return;
         };
         if !held.remove(&block) {
             return;
         }
         self.entries -= 1;
-        let Some(holders) = self.holders.get_mut(&block) else {
+        let Some(holders) = self.servers_by_block.get_mut(&block) else {
             return;
         };
         holders.retain(|holder| *holder != server);
         if holders.is_empty() {
-            self.holders.remove(&block);
+            self.servers_by_block.remove(&block);
         }
     }
 
     /// Drops all that is believed of `server`: it restarted, left, or its events have a gap.
     pub fn clear(&mut self, server: membership::Key) {
-        let held = self.held.get(&server).cloned().unwrap_or_default();
+        let held = self.blocks_by_server.get(&server).cloned().unwrap_or_default();
         for block in held {
             self.remove(server, block);
         }
-        self.held.remove(&server);
-        self.lost.remove(&server);
+        self.blocks_by_server.remove(&server);
+        self.lost_events.remove(&server);
     }
 
     /// Notes that `count` events of `server` were lost: each may have been an eviction. Once they
     /// could have touched a quarter of what is believed, all of it is dropped; until then a wrong
     /// belief costs one computation, and a dropped one costs many.
     pub fn record_lost_events(&mut self, server: membership::Key, count: u64) {
-        let lost = self.lost.entry(server).or_insert(0);
+        let lost = self.lost_events.entry(server).or_insert(0);
         *lost = lost.saturating_add(count);
-        let held = self.held.get(&server).map_or(0, BTreeSet::len) as u64;
-        if lost.saturating_mul(LOST_PART) >= held {
+        let held = self.blocks_by_server.get(&server).map_or(0, BTreeSet::len) as u64;
+        if lost.saturating_mul(CLEAR_THRESHOLD_DIVISOR) >= held {
             self.clear(server);
         }
     }
@@ -95,8 +95,8 @@
     /// How far what is believed of `server` can be trusted, from 0 to 1: the part that no lost event
     /// can have touched.
     pub fn confidence(&self, server: membership::Key) -> f64 {
-        let held = self.held.get(&server).map_or(0, BTreeSet::len) as f64;
-        let lost = self.lost.get(&server).copied().unwrap_or(0) as f64;
+        let held = self.blocks_by_server.get(&server).map_or(0, BTreeSet::len) as f64;
+        let lost = self.lost_events.get(&server).copied().unwrap_or(0) as f64;
         if held == 0.0 { 0.0 } else { (1.0 - lost / held).max(0.0) }
     }
 
@@ -104,7 +104,7 @@
     pub fn depth(&self, blocks: &[Key]) -> Depth {
         let mut depth = Depth::new();
         for (index, block) in blocks.iter().enumerate() {
-            let Some(holders) = self.holders.get(block) else {
+            let Some(holders) = self.servers_by_block.get(block) else {
                 break;
             };
             let mut reached = false;
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -13,10 +13,10 @@
 pub struct Table {
     version: u64,
     /// Routes by host, the longest prefix first.
-    hosts: BTreeMap<String, Vec<Arc<Route>>>,
+    routes_by_host: BTreeMap<String, Vec<Arc<Route>>>,
     pools: BTreeMap<String, Pool>,
     /// The workspace of each key.
-    keys: BTreeMap<String, Arc<Workspace>>,
+    workspaces_by_key: BTreeMap<String, Arc<Workspace>>,
     /// What each workspace may have run that is limited.
     quotas: BTreeMap<String, Quota>,
     limits: Limits,
@@ -48,24 +48,25 @@
         workspaces: Vec<(Workspace, Vec<String>)>,
         limits: Limits,
     ) -> Result<Self, Error> {
-        let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
+        let mut routes_by_host: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in routes {
             if route.splits.iter().all(|split| split.weight == 0) {
                 return Err(Error(format!("route {} leads to no pool", route.name)));
             }
-            hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
+            routes_by_host.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
-        for routes in hosts.values_mut() {
+        for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        let mut keys = BTreeMap::new();
+        let mut workspaces_by_key = BTreeMap::new();
         let mut quotas = BTreeMap::new();
-        for (workspace, owned) in workspaces {
+        for (workspace, owned_keys) in workspaces {
             quotas.extend(workspace.quota.map(|quota| (workspace.name.clone(), quota)));
             let workspace = Arc::new(workspace);
-            keys.extend(owned.into_iter().map(|key| (key, Arc::clone(&workspace))));
+            workspaces_by_key
+                .extend(owned_keys.into_iter().map(|key| (key, Arc::clone(&workspace))));
         }
-        Ok(Self { version, hosts, pools, keys, quotas, limits })
+        Ok(Self { version, routes_by_host, pools, workspaces_by_key, quotas, limits })
     }
 
     /// The configuration's version.
@@ -119,12 +120,12 @@
     /// The route for `path` at `host`, and the workspace that `key` belongs to.
     pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Lookup {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
-        let routes = self.hosts.get(&host).map(Vec::as_slice).unwrap_or_default();
+        let routes = self.routes_by_host.get(&host).map(Vec::as_slice).unwrap_or_default();
         let Some(route) = routes.iter().find(|route| path.starts_with(&route.path_prefix)) else {
             return Lookup::NoRoute;
         };
-        let workspace = key.and_then(|key| self.keys.get(key)).cloned();
-        if workspace.is_none() && !route.public && !self.keys.is_empty() {
+        let workspace = key.and_then(|key| self.workspaces_by_key.get(key)).cloned();
+        if workspace.is_none() && !route.public && !self.workspaces_by_key.is_empty() {
             return Lookup::NoWorkspace;
         }
         Lookup::Route(Arc::clone(route), workspace)
