--- a/standin/src/cache.rs
+++ b/standin/src/cache.rs
@@ -6,15 +6,15 @@
 use cardamomvalve::prefix::Key;
 
 /// Events that are kept for routers that ask late.
-const MAX_EVENTS: usize = 100_000;
+const MAX_RETAINED_EVENTS: usize = 100_000;
 
 /// The cache of one engine, and its events.
 #[derive(Debug)]
 pub struct Cache {
-    limit: usize,
+    max_blocks: usize,
     clock: u64,
-    used: BTreeMap<Key, u64>,
-    order: BTreeMap<u64, Key>,
+    last_used: BTreeMap<Key, u64>,
+    by_last_use: BTreeMap<u64, Key>,
     events: VecDeque<CacheEvent>,
     next_seq: u64,
 }
@@ -23,46 +23,46 @@
     /// An empty cache of at most `limit` blocks.
     pub fn new(limit: usize) -> Self {
         Self {
-            limit,
+            max_blocks: limit,
             clock: 0,
-            used: BTreeMap::new(),
-            order: BTreeMap::new(),
+            last_used: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             events: VecDeque::new(),
             next_seq: 0,
         }
     }
 
     /// How many leading blocks of `blocks` are held.
-    pub fn depth(&self, blocks: &[Key]) -> usize {
-        blocks.iter().take_while(|block| self.used.contains_key(block)).count()
+    pub fn cached_prefix_blocks(&self, blocks: &[Key]) -> usize {
+        blocks.iter().take_while(|block| self.last_used.contains_key(block)).count()
     }
 
     /// Uses `blocks`: those that are not held are stored, and the least recently used go.
-    pub fn use_blocks(&mut self, blocks: &[Key]) {
+    pub fn access(&mut self, blocks: &[Key]) {
         // The first blocks are touched last, so that a prefix goes from its end.
-        for block in blocks.iter().take(self.limit).rev() {
+        for block in blocks.iter().take(self.max_blocks).rev() {
             self.clock += 1;
-            match self.used.insert(*block, self.clock) {
+            match self.last_used.insert(*block, self.clock) {
                 Some(before) => {
-                    self.order.remove(&before);
+                    self.by_last_use.remove(&before);
                 }
-                None => self.note(Change::Stored, *block),
+                None => self.record_event(Change::Stored, *block),
             }
-            self.order.insert(self.clock, *block);
+            self.by_last_use.insert(self.clock, *block);
         }
-        while self.used.len() > self.limit {
-            let Some((_, block)) = self.order.pop_first() else {
+        while self.last_used.len() > self.max_blocks {
+            let Some((_, block)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&block);
-            self.note(Change::Evicted, block);
+            self.last_used.remove(&block);
+            self.record_event(Change::Evicted, block);
         }
     }
 
-    fn note(&mut self, change: Change, block: Key) {
+    fn record_event(&mut self, change: Change, block: Key) {
         self.events.push_back(CacheEvent { seq: self.next_seq, change, block: block.0 });
         self.next_seq += 1;
-        if self.events.len() > MAX_EVENTS {
+        if self.events.len() > MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
     }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -26,9 +26,9 @@
 use crate::serve;
 
 /// Answer tokens where a request does not say.
-const DEFAULT_TOKENS: u64 = 16;
+const DEFAULT_MAX_TOKENS: u64 = 16;
 /// Time between two looks at whether it is a request's turn.
-const LOOK: Duration = Duration::from_millis(1);
+const PREFILL_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The engine's command line.
 #[derive(Debug, Clone, Parser)]
@@ -94,7 +94,7 @@
     cache: Cache,
     options: Options,
     faults: Faults,
-    leaving: bool,
+    draining: bool,
     running: u32,
     /// Prefills that wait or are under way, in order: priority, arrival, tokens.
     prefills: BTreeMap<(u8, u64), u64>,
@@ -102,11 +102,11 @@
     generated: u64,
     cancelled: u64,
     /// The highest fencing number seen.
-    fence: u64,
+    highest_fence: u64,
     orders: u64,
     orders_refused: u64,
     /// Blocks imported from other engines.
-    imported: u64,
+    imported_blocks: u64,
 }
 
 /// The chunk text at `position` of the answer to `prompt`.
@@ -139,24 +139,24 @@
         cache: Cache::new(options.cache_blocks),
         options: options.clone(),
         faults: Faults::default(),
-        leaving: false,
+        draining: false,
         running: 0,
         prefills: BTreeMap::new(),
         arrivals: 0,
         generated: 0,
         cancelled: 0,
-        imported: 0,
-        fence: 0,
+        imported_blocks: 0,
+        highest_fence: 0,
         orders: 0,
         orders_refused: 0,
     };
     let state = Rc::new(RefCell::new(state));
     serve::run("standin-engine", options.listen, move |executor, whole| {
-        answer(Rc::clone(&state), executor, whole)
+        handle_request(Rc::clone(&state), executor, whole)
     })
 }
 
-async fn answer(
+async fn handle_request(
     state: Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
     whole: Received,
@@ -168,22 +168,22 @@
             Some(server::empty(204))
         }
         (Method::Put, "/leave") => {
-            state.borrow_mut().leaving = true;
+            state.borrow_mut().draining = true;
             Some(server::empty(204))
         }
         (Method::Put, "/weights") => {
             state.borrow_mut().weights = serde_json::from_slice(&whole.body).ok()?;
             Some(server::empty(204))
         }
-        (Method::Get, "/report") => Some(report(&state, &whole)),
-        (Method::Post, "/orders") => Some(obey(&state, &whole).await),
-        (Method::Post, "/kv") => Some(export(&state, &whole)),
+        (Method::Get, "/report") => Some(report_response(&state, &whole)),
+        (Method::Post, "/orders") => Some(execute_order(&state, &whole).await),
+        (Method::Post, "/kv") => Some(count_exportable_blocks(&state, &whole)),
         (Method::Get, "/counts") => {
             let state = state.borrow();
             let counts = json!({
                 "generated": state.generated,
                 "cancelled": state.cancelled,
-                "imported": state.imported,
+                "imported": state.imported_blocks,
                 "orders": state.orders,
                 "orders_refused": state.orders_refused,
             });
@@ -191,19 +191,19 @@
         }
         (Method::Post, path) => {
             let kind = Kind::from_path(path)?;
-            Some(complete(state, executor, kind, &whole).await)
+            Some(handle_completion(state, executor, kind, &whole).await)
         }
         _ => Some(server::empty(404)),
     }
 }
 
-fn report(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
-    let from: u64 = serve::query(&whole.request, "from").unwrap_or(0);
+fn report_response(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+    let from: u64 = serve::query_param(&whole.request, "from").unwrap_or(0);
     let state = state.borrow();
     let report = Report {
         incarnation: state.incarnation.clone(),
         from,
-        leaving: state.leaving,
+        leaving: state.draining,
         weights: state.weights.clone(),
         running: state.running,
         waiting: state.prefills.len() as u32,
@@ -221,83 +221,83 @@
     state: Rc<RefCell<State>>,
     kind: Kind,
     prompt: String,
-    position: u64,
-    count: u64,
+    first_position: u64,
+    max_tokens: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
     faults: Faults,
 }
 
-fn declined(status: u16, why: &str) -> Response {
+fn decline_response(status: u16, why: &str) -> Response {
     let mut answer = server::json(status, &json!({ "error": { "message": why } }));
     answer.insert_header(header::EXECUTION, "not-run");
     answer
 }
 
-async fn complete(
+async fn handle_completion(
     state: Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
     kind: Kind,
     whole: &Received,
 ) -> Response {
     let Ok(body) = serde_json::from_slice::<Value>(&whole.body) else {
-        return declined(400, "the body is no JSON");
+        return decline_response(400, "the body is no JSON");
     };
     let Ok(prompt) = openai::prompt(kind, &body) else {
-        return declined(400, "the prompt is missing");
+        return decline_response(400, "the prompt is missing");
     };
     let model = body["model"].as_str().unwrap_or_default();
-    let wanted = serve::value(&whole.request, header::WEIGHTS).unwrap_or_default();
+    let wanted = serve::header_value(&whole.request, header::WEIGHTS).unwrap_or_default();
     let served =
         state.borrow().weights.get(model).is_some_and(|versions| versions.contains(wanted));
     if !served {
-        return declined(409, "these weights are not loaded");
+        return decline_response(409, "these weights are not loaded");
     }
     let faults = state.borrow().faults.clone();
     if !faults.always {
         state.borrow_mut().faults = Faults::default();
     }
     if let Some(status) = faults.decline {
-        return declined(status, "declined as told");
+        return decline_response(status, "declined as told");
     }
-    let salt = serve::value(&whole.request, header::CACHE_SALT).unwrap_or("0");
+    let salt = serve::header_value(&whole.request, header::CACHE_SALT).unwrap_or("0");
     let blocks = prefix::chain(Key(u64::from_str_radix(salt, 16).unwrap_or(0)), prompt.as_bytes());
-    let priority = match serve::value(&whole.request, header::PRIORITY) {
+    let priority = match serve::header_value(&whole.request, header::PRIORITY) {
         Some("urgent") => 0,
         Some("background") => 2,
         _ => 1,
     };
-    if let Some(value) = serve::value(&whole.request, header::KV_IMPORT) {
-        import(&state, value, &blocks).await;
+    if let Some(value) = serve::header_value(&whole.request, header::KV_IMPORT) {
+        import_blocks(&state, value, &blocks).await;
     }
     let cached = prefill(&state, priority, &prompt, &blocks).await;
     if state.borrow().options.ends_on.as_ref().is_some_and(|text| prompt.contains(text)) {
         std::process::exit(1);
     }
-    let from = serve::value(&whole.request, header::RESUME_FROM);
+    let from = serve::header_value(&whole.request, header::RESUME_FROM);
     let generation = Generation {
-        position: from.and_then(|from| from.parse().ok()).unwrap_or(0),
+        first_position: from.and_then(|from| from.parse().ok()).unwrap_or(0),
         prompt: if faults.wrong_attempt { "another prompt".into() } else { prompt.clone() },
-        count: body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS),
+        max_tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS),
         prompt_tokens: (prompt.len() / BYTES_PER_TOKEN) as u64,
         cached_tokens: cached,
         kind,
         faults: faults.clone(),
         state: Rc::clone(&state),
     };
-    respond(&state, executor, whole, generation, &faults, wanted)
+    stream_response(&state, executor, whole, generation, &faults, wanted)
 }
 
 /// Carries an order out, unless its fencing number is old and this engine checks it.
-async fn obey(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+async fn execute_order(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let Ok(order) = serde_json::from_slice::<Order>(&whole.body) else { return server::empty(400) };
     {
         let mut state = state.borrow_mut();
-        if state.options.checks_fencing && order.fence < state.fence {
+        if state.options.checks_fencing && order.fence < state.highest_fence {
             state.orders_refused += 1;
             return server::empty(409);
         }
-        state.fence = state.fence.max(order.fence);
+        state.highest_fence = state.highest_fence.max(order.fence);
         state.orders += 1;
     }
     let load_ms = state.borrow().options.load_ms;
@@ -323,12 +323,12 @@
 }
 
 /// How many of the leading blocks this engine holds, if it is the incarnation that is meant.
-fn export(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+fn count_exportable_blocks(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let state = state.borrow();
     let held = match serde_json::from_slice::<Export>(&whole.body) {
         Ok(ask) if ask.incarnation == state.incarnation => {
             let blocks: Vec<Key> = ask.blocks.into_iter().map(Key).collect();
-            state.cache.depth(&blocks)
+            state.cache.cached_prefix_blocks(&blocks)
         }
         _ => 0,
     };
@@ -336,14 +336,14 @@
 }
 
 /// Imports leading blocks from the engine that `value` names, as far as it still holds them.
-async fn import(state: &Rc<RefCell<State>>, value: &str, blocks: &[Key]) -> Option<()> {
+async fn import_blocks(state: &Rc<RefCell<State>>, value: &str, blocks: &[Key]) -> Option<()> {
     let import_ms = state.borrow().options.import_ms?;
     let mut parts = value.split(';');
     let address = parts.next()?.parse().ok()?;
     let incarnation = parts.next()?.to_owned();
     let count: usize = parts.next()?.parse().ok()?;
     let wanted = &blocks[..count.min(blocks.len())];
-    let cached = state.borrow().cache.depth(wanted);
+    let cached = state.borrow().cache.cached_prefix_blocks(wanted);
     let ask = Export { incarnation, blocks: wanted.iter().map(|key| key.0).collect() };
     let body = serde_json::to_string(&ask).ok()?;
     let (_, answer) =
@@ -354,8 +354,8 @@
     let micros = imported as f64 * import_ms * 1_000.0;
     Timer::after(Duration::from_micros(micros as u64)).await;
     let mut state = state.borrow_mut();
-    state.imported += imported as u64;
-    state.cache.use_blocks(&wanted[..held.min(wanted.len())]);
+    state.imported_blocks += imported as u64;
+    state.cache.access(&wanted[..held.min(wanted.len())]);
     Some(())
 }
 
@@ -369,11 +369,11 @@
         place
     };
     while state.borrow().prefills.first_key_value().map(|(first, _)| *first) != Some(place) {
-        Timer::after(LOOK).await;
+        Timer::after(PREFILL_POLL_INTERVAL).await;
     }
     // First in line stays first while it computes: a later arrival may not overtake.
     state.borrow_mut().prefills.remove(&place);
-    let held = state.borrow().cache.depth(blocks) as u64 * u64::from(BLOCK_TOKENS);
+    let held = state.borrow().cache.cached_prefix_blocks(blocks) as u64 * u64::from(BLOCK_TOKENS);
     let total = (prompt.len() / BYTES_PER_TOKEN) as u64;
     let under_way = (0, 0);
     state.borrow_mut().prefills.insert(under_way, total.saturating_sub(held));
@@ -382,11 +382,11 @@
     Timer::after(Duration::from_micros(micros)).await;
     let mut state = state.borrow_mut();
     state.prefills.remove(&under_way);
-    state.cache.use_blocks(blocks);
+    state.cache.access(blocks);
     held.min(total)
 }
 
-fn respond(
+fn stream_response(
     state: &Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
     whole: &Received,
@@ -394,7 +394,7 @@
     faults: &Faults,
     weights: &str,
 ) -> Response {
-    let attempt = serve::value(&whole.request, header::ATTEMPT).unwrap_or_default();
+    let attempt = serve::header_value(&whole.request, header::ATTEMPT).unwrap_or_default();
     let attempt = if faults.wrong_attempt { "another" } else { attempt };
     let incarnation = if faults.wrong_incarnation {
         "another".into()
@@ -415,9 +415,9 @@
     answer
 }
 
-type Chunks = async_channel::Sender<std::io::Result<Vec<u8>>>;
+type Sender = async_channel::Sender<std::io::Result<Vec<u8>>>;
 
-async fn generate(generation: Generation, sender: Chunks) {
+async fn generate(generation: Generation, sender: Sender) {
     let state = Rc::clone(&generation.state);
     state.borrow_mut().running += 1;
     let complete = send_chunks(&generation, &sender).await;
@@ -431,11 +431,11 @@
 }
 
 /// Sends the chunks; `None` where the stream was cut or its reader left.
-async fn send_chunks(generation: &Generation, sender: &Chunks) -> Option<()> {
+async fn send_chunks(generation: &Generation, sender: &Sender) -> Option<()> {
     let token_ms = generation.state.borrow().options.token_ms;
     let faults = &generation.faults;
     let mut sent = 0;
-    for position in generation.position..generation.count {
+    for position in generation.first_position..generation.max_tokens {
         Timer::after(Duration::from_millis(token_ms)).await;
         if faults.cut_after == Some(sent) {
             sender.send(Err(std::io::ErrorKind::ConnectionReset.into())).await.ok();
@@ -459,7 +459,7 @@
         return None;
     }
     if !faults.no_end {
-        let end = format!("id: {}\ndata: [DONE]\n\n", generation.count);
+        let end = format!("id: {}\ndata: [DONE]\n\n", generation.max_tokens);
         sender.send(Ok(end.into_bytes())).await.ok()?;
     }
     Some(())
@@ -467,7 +467,7 @@
 
 fn chunk(generation: &Generation, position: u64) -> Value {
     let text = token(&generation.prompt, position);
-    let last = position + 1 == generation.count;
+    let last = position + 1 == generation.max_tokens;
     let reason = if last { json!("length") } else { Value::Null };
     let (object, choice) = match generation.kind {
         Kind::Text => {
@@ -482,8 +482,8 @@
     if last {
         chunk["usage"] = json!({
             "prompt_tokens": generation.prompt_tokens,
-            "completion_tokens": generation.count,
-            "total_tokens": generation.prompt_tokens + generation.count,
+            "completion_tokens": generation.max_tokens,
+            "total_tokens": generation.prompt_tokens + generation.max_tokens,
             "prompt_tokens_details": { "cached_tokens": generation.cached_tokens },
         });
     }
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -25,7 +25,7 @@
     max_body_bytes: 16 << 20,
 };
 /// Times that one request is asked again after a refusal that says "not run".
-const MAX_ASKS: u32 = 20;
+const MAX_ATTEMPTS: u32 = 20;
 
 /// The load tool's command line.
 #[derive(Debug, Clone, Parser)]
@@ -75,36 +75,36 @@
 
 /// What came of a load.
 #[derive(Debug)]
-struct Tally {
+struct Summary {
     first_token_us: Histogram<u64>,
     complete: u64,
     wrong: u64,
     failed: u64,
-    asked_again: u64,
+    retries: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
     payments: u64,
-    complaints: Vec<String>,
+    errors: Vec<String>,
 }
 
-impl Tally {
+impl Summary {
     fn new() -> eyre::Result<Self> {
         Ok(Self {
             first_token_us: Histogram::new(3)?,
             complete: 0,
             wrong: 0,
             failed: 0,
-            asked_again: 0,
+            retries: 0,
             prompt_tokens: 0,
             cached_tokens: 0,
             payments: 0,
-            complaints: Vec::new(),
+            errors: Vec::new(),
         })
     }
 
-    fn complain(&mut self, complaint: String) {
-        if self.complaints.len() < 10 {
-            self.complaints.push(complaint);
+    fn record_error(&mut self, complaint: String) {
+        if self.errors.len() < 10 {
+            self.errors.push(complaint);
         }
     }
 }
@@ -115,11 +115,11 @@
     if let Some(address) = outside {
         eyre::bail!("{address} is not on loopback; this tool sends load nowhere else");
     }
-    let tally = Rc::new(RefCell::new(Tally::new()?));
+    let tally = Rc::new(RefCell::new(Summary::new()?));
     let executor = Rc::new(LocalExecutor::new());
     let next = Rc::new(RefCell::new(0_u32));
     let workers: Vec<_> = (0..options.concurrency)
-        .map(|_| executor.spawn(work(options.clone(), Rc::clone(&next), Rc::clone(&tally))))
+        .map(|_| executor.spawn(run_worker(options.clone(), Rc::clone(&next), Rc::clone(&tally))))
         .collect();
     block_on(executor.run(async {
         for worker in workers {
@@ -127,30 +127,30 @@
         }
     }));
     let tally = tally.borrow();
-    print(options, &tally);
+    print_summary(options, &tally);
     eyre::ensure!(tally.wrong + tally.failed == 0, "answers were wrong or lost");
     Ok(())
 }
 
-async fn work(options: Options, next: Rc<RefCell<u32>>, tally: Rc<RefCell<Tally>>) {
+async fn run_worker(options: Options, next: Rc<RefCell<u32>>, tally: Rc<RefCell<Summary>>) {
     loop {
         let number = next.replace_with(|number| *number + 1);
         if number >= options.requests {
             return;
         }
-        completion(&options, number, &tally).await;
+        run_completion(&options, number, &tally).await;
         if let Some(service) = &options.service {
-            payment(&options, service, number, &tally).await;
+            run_payment(&options, service, number, &tally).await;
         }
         Timer::after(Duration::from_millis(options.pause_ms)).await;
     }
 }
 
-fn filler(name: &str, bytes: usize) -> String {
+fn repeat_to_length(name: &str, bytes: usize) -> String {
     name.chars().cycle().take(bytes).collect()
 }
 
-fn head(options: &Options, number: u32, path: &str) -> Option<(SocketAddr, Request)> {
+fn authorized_request(options: &Options, number: u32, path: &str) -> Option<(SocketAddr, Request)> {
     let address = *options.to.get(number as usize % options.to.len())?;
     let mut request = client::request(Method::Post, address, path).ok()?;
     request.insert_header("authorization", format!("Bearer {}", options.key));
@@ -158,47 +158,47 @@
 }
 
 /// What came of one ask.
-enum Ask {
-    Answered,
-    Again(Duration),
+enum Attempt {
+    Finished,
+    Retry(Duration),
     Failed(String),
 }
 
-async fn completion(options: &Options, number: u32, tally: &Rc<RefCell<Tally>>) {
+async fn run_completion(options: &Options, number: u32, tally: &Rc<RefCell<Summary>>) {
     let client = number % options.clients.max(1);
     let levels = (options.standard_bytes, options.standard_bytes + options.client_bytes);
     let prompt = format!(
         "{}{}case {number}",
-        filler("the standard says ", levels.0),
-        filler(&format!("client {client} "), options.client_bytes)
+        repeat_to_length("the standard says ", levels.0),
+        repeat_to_length(&format!("client {client} "), options.client_bytes)
     );
-    for turn in 0..MAX_ASKS {
-        match ask(options, number + turn, &prompt, levels, tally).await {
-            Ask::Answered => return,
-            Ask::Again(pause) => {
-                tally.borrow_mut().asked_again += 1;
+    for turn in 0..MAX_ATTEMPTS {
+        match attempt_completion(options, number + turn, &prompt, levels, tally).await {
+            Attempt::Finished => return,
+            Attempt::Retry(pause) => {
+                tally.borrow_mut().retries += 1;
                 Timer::after(pause).await;
             }
-            Ask::Failed(why) => {
+            Attempt::Failed(why) => {
                 tally.borrow_mut().failed += 1;
-                tally.borrow_mut().complain(format!("completion {number}: {why}"));
+                tally.borrow_mut().record_error(format!("completion {number}: {why}"));
                 return;
             }
         }
     }
     tally.borrow_mut().failed += 1;
-    tally.borrow_mut().complain(format!("completion {number}: refused {MAX_ASKS} times"));
+    tally.borrow_mut().record_error(format!("completion {number}: refused {MAX_ATTEMPTS} times"));
 }
 
-async fn ask(
+async fn attempt_completion(
     options: &Options,
     turn: u32,
     prompt: &str,
     levels: (usize, usize),
-    tally: &Rc<RefCell<Tally>>,
-) -> Ask {
-    let Some((address, mut request)) = head(options, turn, "/v1/completions") else {
-        return Ask::Failed("no address".into());
+    tally: &Rc<RefCell<Summary>>,
+) -> Attempt {
+    let Some((address, mut request)) = authorized_request(options, turn, "/v1/completions") else {
+        return Attempt::Failed("no address".into());
     };
     request.insert_header(header::PREFIX_LEVELS, format!("{},{}", levels.0, levels.1));
     let body = json!({
@@ -212,10 +212,10 @@
     let mut answer = match client::send(address, request, LIMITS).await {
         Ok(answer) => answer,
         // A completion may be repeated: nothing hangs on its running once.
-        Err(failure) => return again_after(failure.reason),
+        Err(failure) => return retry_after_error(failure.reason),
     };
     if u16::from(answer.response.status()) != 200 {
-        return refused(answer).await;
+        return handle_refusal(answer).await;
     }
     let body = answer.response.take_body();
     let mut events = async_sse::decode(futures_lite::io::BufReader::new(body));
@@ -225,14 +225,14 @@
         let message = match event {
             Ok(Event::Message(message)) => message,
             Ok(Event::Retry(_)) => continue,
-            Err(error) => return again_after(error.to_string()),
+            Err(error) => return retry_after_error(error.to_string()),
         };
         if message.data() == b"[DONE]" {
-            return finish(options, prompt, &text, &usage, tally);
+            return check_answer(options, prompt, &text, &usage, tally);
         }
         let chunk: Value = serde_json::from_slice(message.data()).unwrap_or_default();
         if message.name() == "error" {
-            return Ask::Failed(chunk.to_string());
+            return Attempt::Failed(chunk.to_string());
         }
         if text.is_empty() {
             let micros = start.elapsed().as_micros() as u64;
@@ -243,33 +243,33 @@
             usage = chunk["usage"].clone();
         }
     }
-    again_after("the stream ended early".into())
+    retry_after_error("the stream ended early".into())
 }
 
-fn again_after(_reason: String) -> Ask {
-    Ask::Again(Duration::from_millis(100))
+fn retry_after_error(_reason: String) -> Attempt {
+    Attempt::Retry(Duration::from_millis(100))
 }
 
-async fn refused(answer: client::Answer) -> Ask {
+async fn handle_refusal(answer: client::Answer) -> Attempt {
     let head = answer.response.as_ref();
     let retry_after = header::single(head, "retry-after").ok().flatten();
     let seconds: Option<u64> = retry_after.and_then(|value| value.parse().ok());
     match seconds {
-        Some(seconds) => Ask::Again(Duration::from_secs(seconds)),
+        Some(seconds) => Attempt::Retry(Duration::from_secs(seconds)),
         None => {
             let body = answer.read_whole().await.map(|(_, body)| body).unwrap_or_default();
-            Ask::Failed(String::from_utf8_lossy(&body).into_owned())
+            Attempt::Failed(String::from_utf8_lossy(&body).into_owned())
         }
     }
 }
 
-fn finish(
+fn check_answer(
     options: &Options,
     prompt: &str,
     text: &str,
     usage: &Value,
-    tally: &Rc<RefCell<Tally>>,
-) -> Ask {
+    tally: &Rc<RefCell<Summary>>,
+) -> Attempt {
     let mut tally = tally.borrow_mut();
     tally.prompt_tokens += usage["prompt_tokens"].as_u64().unwrap_or(0);
     tally.cached_tokens += usage["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap_or(0);
@@ -277,16 +277,16 @@
         tally.complete += 1;
     } else {
         tally.wrong += 1;
-        tally.complain("a completion's text is not the prompt's answer".to_owned());
+        tally.record_error("a completion's text is not the prompt's answer".to_owned());
     }
-    Ask::Answered
+    Attempt::Finished
 }
 
-async fn payment(options: &Options, service: &str, number: u32, tally: &Rc<RefCell<Tally>>) {
+async fn run_payment(options: &Options, service: &str, number: u32, tally: &Rc<RefCell<Summary>>) {
     let key = format!("payment-{}-{number}", options.key);
-    for turn in 0..MAX_ASKS {
+    for turn in 0..MAX_ATTEMPTS {
         let path = format!("/services/{service}/payments");
-        let Some((address, mut request)) = head(options, number + turn, &path) else {
+        let Some((address, mut request)) = authorized_request(options, number + turn, &path) else {
             return;
         };
         request.insert_header(header::IDEMPOTENCY_KEY, key.as_str());
@@ -297,22 +297,22 @@
                 tally.borrow_mut().payments += 1;
                 return;
             }
-            Ok(answer) => match refused(answer).await {
-                Ask::Again(pause) => pause,
+            Ok(answer) => match handle_refusal(answer).await {
+                Attempt::Retry(pause) => pause,
                 // The outcome is not known, and the system says so: nothing was lost in silence.
                 _ => return,
             },
             // With a key it is safe to ask again.
             Err(_) => Duration::from_millis(100),
         };
-        tally.borrow_mut().asked_again += 1;
+        tally.borrow_mut().retries += 1;
         Timer::after(pause).await;
     }
     tally.borrow_mut().failed += 1;
-    tally.borrow_mut().complain(format!("payment {number}: refused {MAX_ASKS} times"));
+    tally.borrow_mut().record_error(format!("payment {number}: refused {MAX_ATTEMPTS} times"));
 }
 
-fn print(options: &Options, tally: &Tally) {
+fn print_summary(options: &Options, tally: &Summary) {
     let ms = |quantile: f64| tally.first_token_us.value_at_quantile(quantile) as f64 / 1_000.0;
     let hit_rate = tally.cached_tokens as f64 / tally.prompt_tokens.max(1) as f64;
     if options.json {
@@ -320,7 +320,7 @@
             "complete": tally.complete,
             "wrong": tally.wrong,
             "failed": tally.failed,
-            "asked_again": tally.asked_again,
+            "asked_again": tally.retries,
             "payments": tally.payments,
             "hit_rate": hit_rate,
             "first_token_ms": {
@@ -331,7 +331,7 @@
     } else {
         println!(
             "completions: {} complete, {} wrong, {} failed, {} asked again; payments: {}",
-            tally.complete, tally.wrong, tally.failed, tally.asked_again, tally.payments
+            tally.complete, tally.wrong, tally.failed, tally.retries, tally.payments
         );
         println!("prefix hit rate: {:.1}% of prompt tokens", hit_rate * 100.0);
         println!(
@@ -343,7 +343,7 @@
             tally.first_token_us.len()
         );
     }
-    for complaint in &tally.complaints {
+    for complaint in &tally.errors {
         eprintln!("{complaint}");
     }
 }
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -16,9 +16,9 @@
 use crate::serve;
 
 /// Records that a read returns at most.
-const MAX_RECORDS: usize = 10_000;
+const MAX_PAGE_RECORDS: usize = 10_000;
 /// Time between two looks for a new record while a read waits.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The log service's command line.
 #[derive(Debug, Parser)]
@@ -59,19 +59,19 @@
 
 #[derive(Debug, Default)]
 struct Stream {
-    first: u64,
+    first_offset: u64,
     lines: Vec<Line>,
 }
 
 impl Stream {
-    fn next(&self) -> u64 {
-        self.first + self.lines.len() as u64
+    fn next_offset(&self) -> u64 {
+        self.first_offset + self.lines.len() as u64
     }
 
-    fn forget(&mut self, before_ms: u64) {
+    fn expire(&mut self, before_ms: u64) {
         let old = self.lines.iter().take_while(|line| line.time_ms < before_ms).count();
         self.lines.drain(..old);
-        self.first += old as u64;
+        self.first_offset += old as u64;
     }
 }
 
@@ -85,19 +85,19 @@
 impl State {
     fn append(&mut self, name: &str, text: String) -> u64 {
         let stream = self.streams.entry(name.to_owned()).or_default();
-        let offset = stream.next();
+        let offset = stream.next_offset();
         stream.lines.push(Line { offset, time_ms: now_ms(), text });
         offset
     }
 
-    fn read(&mut self, name: &str, from: u64, limit: usize) -> Page {
+    fn read_page(&mut self, name: &str, from: u64, limit: usize) -> Page {
         let before_ms = now_ms().saturating_sub(self.retention_s * 1_000);
         let stream = self.streams.entry(name.to_owned()).or_default();
-        stream.forget(before_ms);
+        stream.expire(before_ms);
         let records = stream.lines.iter().filter(|line| line.offset >= from).take(limit).cloned();
         Page {
-            first: stream.first,
-            next: stream.next(),
+            first: stream.first_offset,
+            next: stream.next_offset(),
             retention_s: self.retention_s,
             records: records.collect(),
         }
@@ -112,10 +112,12 @@
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = State { retention_s: options.retention_s, ..State::default() };
     let state = Rc::new(RefCell::new(state));
-    serve::run("standin-log", options.listen, move |_, whole| answer(Rc::clone(&state), whole))
+    serve::run("standin-log", options.listen, move |_, whole| {
+        handle_request(Rc::clone(&state), whole)
+    })
 }
 
-async fn answer(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
+async fn handle_request(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
     let path = whole.request.url().path().to_owned();
     if path == "/faults" {
         let faults = serde_json::from_slice(&whole.body).unwrap_or_default();
@@ -164,16 +166,16 @@
 }
 
 async fn read(state: &Rc<RefCell<State>>, name: &str, whole: &Received) -> Response {
-    let from: u64 = serve::query(&whole.request, "from").unwrap_or(0);
-    let limit: usize = serve::query(&whole.request, "limit").unwrap_or(MAX_RECORDS);
-    let wait_ms: u64 = serve::query(&whole.request, "wait_ms").unwrap_or(0);
-    let mut looks = wait_ms / LOOK.as_millis() as u64;
+    let from: u64 = serve::query_param(&whole.request, "from").unwrap_or(0);
+    let limit: usize = serve::query_param(&whole.request, "limit").unwrap_or(MAX_PAGE_RECORDS);
+    let wait_ms: u64 = serve::query_param(&whole.request, "wait_ms").unwrap_or(0);
+    let mut looks = wait_ms / POLL_INTERVAL.as_millis() as u64;
     loop {
-        let page = state.borrow_mut().read(name, from, limit.min(MAX_RECORDS));
+        let page = state.borrow_mut().read_page(name, from, limit.min(MAX_PAGE_RECORDS));
         if !page.records.is_empty() || looks == 0 || state.borrow().faults.mode == Mode::Down {
             return server::json(200, &serde_json::to_value(page).unwrap_or_default());
         }
         looks -= 1;
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/standin/src/replay/engine.rs
+++ b/standin/src/replay/engine.rs
@@ -125,7 +125,7 @@
         }
         let (place, prefill) = self.prefills.first_key_value()?;
         let place = *place;
-        let cached = self.cache.depth(&prefill.job.blocks);
+        let cached = self.cache.cached_prefix_blocks(&prefill.job.blocks);
         let prefill = self.prefills.get_mut(&place)?;
         let mut import_us = 0;
         if prefill.remaining.is_none() {
@@ -145,7 +145,7 @@
 
     /// Exports up to `blocks` of the leading blocks; returns how many it held.
     pub fn export(&mut self, blocks: &[Key]) -> usize {
-        let held = self.cache.depth(blocks);
+        let held = self.cache.cached_prefix_blocks(blocks);
         self.export_debt += Duration::from_micros(held as u64 * IMPORT_US / EXPORT_PART);
         held
     }
@@ -160,7 +160,7 @@
             return None;
         }
         let prefill = self.prefills.remove(&place)?;
-        self.cache.use_blocks(&prefill.job.blocks);
+        self.cache.access(&prefill.job.blocks);
         self.running += 1;
         Some(Computed {
             job: prefill.job,
@@ -191,7 +191,7 @@
     }
 
     fn uncached(&self, job: &Job) -> u64 {
-        let cached = self.cache.depth(&job.blocks) as u32 * BLOCK_TOKENS;
+        let cached = self.cache.cached_prefix_blocks(&job.blocks) as u32 * BLOCK_TOKENS;
         u64::from(job.tokens.saturating_sub(cached))
     }
 
--- a/standin/src/replay/policy.rs
+++ b/standin/src/replay/policy.rs
@@ -123,7 +123,7 @@
             free: true,
             wait_ms: engines[*index].wait_ms(job.priority),
             token_ms: TOKEN_US as f64 / 1_000.0,
-            depth: engines[*index].cache.depth(&job.blocks),
+            depth: engines[*index].cache.cached_prefix_blocks(&job.blocks),
             import_ms: Some(IMPORT_US as f64 / 1_000.0),
             near: true,
         })
--- a/standin/src/replay/world/baselines.rs
+++ b/standin/src/replay/world/baselines.rs
@@ -32,7 +32,7 @@
 
     /// Leading blocks that the oracle has imported from the engine that holds most.
     fn best_export(&mut self, engine: usize, job: &Job) -> usize {
-        let depth = |index: &usize| self.engines[*index].cache.depth(&job.blocks);
+        let depth = |index: &usize| self.engines[*index].cache.cached_prefix_blocks(&job.blocks);
         let Some(holder) = (0..ENGINES).max_by_key(depth) else { return 0 };
         if depth(&holder) <= depth(&engine) {
             return 0;
--- a/standin/src/replay/world/callers.rs
+++ b/standin/src/replay/world/callers.rs
@@ -91,7 +91,7 @@
             .iter()
             .filter(|engine| engine.up)
             .map(|engine| {
-                let cached = engine.cache.depth(blocks) as u32 * BLOCK_TOKENS;
+                let cached = engine.cache.cached_prefix_blocks(blocks) as u32 * BLOCK_TOKENS;
                 let tokens = request.tokens().saturating_sub(cached);
                 engine.wait_ms(request.priority) + f64::from(tokens) * TOKEN_US as f64 / 1_000.0
             })
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -13,9 +13,9 @@
 use http_types::{Request, Response};
 
 /// Time that a connection may stay silent.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Bytes of a request's body.
-const MAX_BODY: u64 = 64 << 20;
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
 /// Listens on `address`, prints a ready line, and serves until the process ends.
 ///
@@ -35,10 +35,11 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            let socket = Socket::new(stream, IDLE);
+            let socket = Socket::new(stream, IDLE_TIMEOUT);
             let (handle, spawner) = (Rc::clone(&handle), Rc::clone(&executor));
             let serving = async move {
-                let endpoint = |request, socket| answer(&*handle, &spawner, request, socket);
+                let endpoint =
+                    |request, socket| handle_request(&*handle, &spawner, request, socket);
                 server::serve(socket, endpoint).await.ok();
             };
             executor.spawn(serving).detach();
@@ -46,7 +47,7 @@
     }))
 }
 
-async fn answer<F, Fut>(
+async fn handle_request<F, Fut>(
     handle: &F,
     executor: &Rc<LocalExecutor<'static>>,
     request: Request,
@@ -56,7 +57,7 @@
     F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut,
     Fut: Future<Output = Option<Response>>,
 {
-    let whole = match server::read(request, &socket, MAX_BODY).await {
+    let whole = match server::read(request, &socket, MAX_BODY_BYTES).await {
         Ok(whole) => whole,
         Err(error) => {
             return Ok(server::json(400, &serde_json::json!({ "error": error.message() })));
@@ -73,12 +74,12 @@
 }
 
 /// The value of a query parameter.
-pub fn query<T: std::str::FromStr>(request: &Request, name: &str) -> Option<T> {
+pub fn query_param<T: std::str::FromStr>(request: &Request, name: &str) -> Option<T> {
     let (_, value) = request.url().query_pairs().find(|(key, _)| key == name)?;
     value.parse().ok()
 }
 
 /// The value of a header that is given once.
-pub fn value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+pub fn header_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     header::single(request.as_ref(), name).ok().flatten()
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -45,19 +45,21 @@
 struct State {
     faults: Faults,
     /// Runs by workspace, path and body.
-    runs: BTreeMap<String, u64>,
+    run_counts: BTreeMap<String, u64>,
     receipts: u64,
-    ends_on: Option<String>,
+    crash_text: Option<String>,
 }
 
 /// Runs the service: every request to any path but `/runs` and `/faults` is a run.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let ends_on = options.ends_on.clone();
-    let state = Rc::new(RefCell::new(State { ends_on, ..State::default() }));
-    serve::run("standin-service", options.listen, move |_, whole| answer(Rc::clone(&state), whole))
+    let state = Rc::new(RefCell::new(State { crash_text: ends_on, ..State::default() }));
+    serve::run("standin-service", options.listen, move |_, whole| {
+        handle_request(Rc::clone(&state), whole)
+    })
 }
 
-async fn answer(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
+async fn handle_request(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
     let path = whole.request.url().path().to_owned();
     match (whole.request.method(), path.as_str()) {
         (Method::Put, "/faults") => {
@@ -65,18 +67,19 @@
             return Some(server::empty(204));
         }
         (Method::Get, "/runs") => {
-            return Some(server::json(200, &json!(state.borrow().runs)));
+            return Some(server::json(200, &json!(state.borrow().run_counts)));
         }
         _ => {}
     }
-    let workspace = serve::value(&whole.request, "x-workspace").unwrap_or_default().to_owned();
+    let workspace =
+        serve::header_value(&whole.request, "x-workspace").unwrap_or_default().to_owned();
     let body = String::from_utf8_lossy(&whole.body).into_owned();
-    if state.borrow().ends_on.as_ref().is_some_and(|text| body.contains(text)) {
+    if state.borrow().crash_text.as_ref().is_some_and(|text| body.contains(text)) {
         std::process::exit(1);
     }
     let (receipt, faults) = {
         let mut state = state.borrow_mut();
-        *state.runs.entry(format!("{workspace} {path} {body}")).or_default() += 1;
+        *state.run_counts.entry(format!("{workspace} {path} {body}")).or_default() += 1;
         state.receipts += 1;
         (state.receipts, state.faults.clone())
     };
@@ -87,7 +90,7 @@
         return None;
     }
     let filler = "x".repeat(faults.filler);
-    let trace = serve::value(&whole.request, "traceparent").unwrap_or_default();
+    let trace = serve::header_value(&whole.request, "traceparent").unwrap_or_default();
     let body = json!({ "receipt": receipt, "path": path, "request": body, "filler": filler, "trace": trace });
     let mut answer = server::json(200, &body);
     if faults.short {
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -31,12 +31,12 @@
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = Rc::new(RefCell::new(State::default()));
     serve::run("standin-vms", options.listen, move |_, whole| {
-        let answer = answer(&state, &whole);
+        let answer = handle_request(&state, &whole);
         async { Some(answer) }
     })
 }
 
-fn answer(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+fn handle_request(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let mut state = state.borrow_mut();
     match (whole.request.method(), whole.request.url().path()) {
         (Method::Put, "/down") => {
