--- a/standin/src/bin/cardamomvalve-load.rs
+++ b/standin/src/bin/cardamomvalve-load.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::load`.
+//! Entry point of `cardamomvalve_standin::load`.
 
 use clap::Parser;
 
--- a/standin/src/bin/cardamomvalve-replay.rs
+++ b/standin/src/bin/cardamomvalve-replay.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::replay`.
+//! Entry point of `cardamomvalve_standin::replay`.
 
 use clap::Parser;
 
--- a/standin/src/bin/standin-call.rs
+++ b/standin/src/bin/standin-call.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::call`.
+//! Entry point of `cardamomvalve_standin::call`.
 
 use clap::Parser;
 
--- a/standin/src/bin/standin-engine.rs
+++ b/standin/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::engine`.
+//! Entry point of `cardamomvalve_standin::engine`.
 
 use clap::Parser;
 
--- a/standin/src/bin/standin-log.rs
+++ b/standin/src/bin/standin-log.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::log`.
+//! Entry point of `cardamomvalve_standin::log`.
 
 use clap::Parser;
 
--- a/standin/src/bin/standin-service.rs
+++ b/standin/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::service`.
+//! Entry point of `cardamomvalve_standin::service`.
 
 use clap::Parser;
 
--- a/standin/src/bin/standin-vms.rs
+++ b/standin/src/bin/standin-vms.rs
@@ -1,4 +1,4 @@
-//! See `cardamomvalve_standin::vms`.
+//! Entry point of `cardamomvalve_standin::vms`.
 
 use clap::Parser;
 
--- a/standin/src/cache.rs
+++ b/standin/src/cache.rs
@@ -1,14 +1,14 @@
-//! An engine's cache of prompt blocks: limited, least recently used first out.
+//! An engine's bounded cache of prompt blocks, with LRU eviction.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use cardamomvalve::membership::{CacheEvent, Change};
 use cardamomvalve::prefix::Key;
 
-/// Events that are kept for routers that ask late.
+/// Maximum number of events retained for routers that fall behind.
 const MAX_RETAINED_EVENTS: usize = 100_000;
 
-/// The cache of one engine, and its events.
+/// The block cache of one engine and its change events.
 #[derive(Debug)]
 pub struct Cache {
     max_blocks: usize,
@@ -20,7 +20,7 @@
 }
 
 impl Cache {
-    /// An empty cache of at most `limit` blocks.
+    /// Creates an empty cache of at most `limit` blocks.
     pub fn new(limit: usize) -> Self {
         Self {
             max_blocks: limit,
@@ -32,14 +32,14 @@
         }
     }
 
-    /// How many leading blocks of `blocks` are held.
+    /// Counts the leading blocks of `blocks` that are cached.
     pub fn cached_prefix_blocks(&self, blocks: &[Key]) -> usize {
         blocks.iter().take_while(|block| self.last_used.contains_key(block)).count()
     }
 
-    /// Uses `blocks`: those that are not held are stored, and the least recently used go.
+    /// Marks `blocks` as used, stores missing ones and evicts the least recently used blocks.
     pub fn access(&mut self, blocks: &[Key]) {
-        // The first blocks are touched last, so that a prefix goes from its end.
+        // Marks in reverse order, so that eviction shortens a prefix from its end.
         for block in blocks.iter().take(self.max_blocks).rev() {
             self.clock += 1;
             match self.last_used.insert(*block, self.clock) {
@@ -67,12 +67,12 @@
         }
     }
 
-    /// The sequence number after the newest event.
+    /// Returns the sequence number after the newest event.
     pub fn next_seq(&self) -> u64 {
         self.next_seq
     }
 
-    /// Events from sequence number `from`, as far as they are kept.
+    /// Returns the retained events from sequence number `from` on.
     pub fn events(&self, from: u64) -> Vec<CacheEvent> {
         let first = self.events.front().map_or(self.next_seq, |event| event.seq);
         let skip = from.saturating_sub(first) as usize;
--- a/standin/src/call.rs
+++ b/standin/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP request from the command line, for scripts on machines without other tools.
+//! Sends one HTTP request from the command line, for scripts on machines without other HTTP tools.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     max_body_bytes: 64 << 20,
 };
 
-/// The command line.
+/// Command-line options of the tool.
 #[derive(Debug, Parser)]
 #[command(name = "standin-call", version, about = "Sends one HTTP request and prints the answer")]
 pub struct Options {
@@ -38,7 +38,8 @@
     pub show_head: bool,
 }
 
-/// Sends the request; an error where the status is not 2xx or the answer is cut.
+/// Sends the request and prints the answer. Fails on a status other than 2xx and
+/// on a truncated answer.
 pub fn run(options: &Options) -> eyre::Result<()> {
     block_on(call(options))
 }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: batches, caches prompt blocks, streams a text that follows from the prompt.
+//! A stand-in for a model engine. It queues prefills, caches prompt blocks and streams a text that
+//! is computed from the prompt.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,12 +26,12 @@
 use crate::cache::Cache;
 use crate::serve;
 
-/// Answer tokens where a request does not say.
+/// Number of answer tokens for a request without `max_tokens`.
 const DEFAULT_MAX_TOKENS: u64 = 16;
-/// Time between two looks at whether it is a request's turn.
+/// Interval at which a queued request checks if its prefill is next.
 const PREFILL_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The engine's command line.
+/// Command-line options of the engine.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "standin-engine", version, about = "A stand-in for a model engine")]
 pub struct Options {
@@ -63,27 +64,27 @@
     pub token_ms: u64,
 }
 
-/// What is set with `PUT /faults`; done to the next answer, or to all.
+/// Faults set with `PUT /faults`, injected into the next answer or into all answers.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Do it to every answer, not only to the next.
+    /// Inject the faults into every answer, not only into the next.
     pub always: bool,
     /// Cut the connection after this many chunks.
     pub cut_after: Option<u64>,
     /// Send this chunk twice.
     pub repeat: Option<u64>,
-    /// Leave this chunk out.
+    /// Omit this chunk.
     pub omit: Option<u64>,
-    /// Answer another attempt, with its text.
+    /// Name another attempt in the answer and send another prompt's text.
     pub wrong_attempt: bool,
     /// Name another incarnation in the answer.
     pub wrong_incarnation: bool,
-    /// End the stream cleanly, but after this many chunks.
+    /// End the response body cleanly after this many chunks.
     pub end_after: Option<u64>,
-    /// End the stream without its last event.
+    /// Omit the stream's last event.
     pub no_end: bool,
-    /// Decline with this status, as not run.
+    /// Decline the request with this status and mark it as not run.
     pub decline: Option<u16>,
 }
 
@@ -96,20 +97,20 @@
     faults: Faults,
     draining: bool,
     running: u32,
-    /// Prefills that wait or are under way, in order: priority, arrival, tokens.
+    /// Prompt tokens of queued and running prefills, by priority and arrival number.
     prefills: BTreeMap<(u8, u64), u64>,
     arrivals: u64,
     generated: u64,
     cancelled: u64,
-    /// The highest fencing number seen.
+    /// Highest fencing number seen.
     highest_fence: u64,
     orders: u64,
     orders_refused: u64,
-    /// Blocks imported from other engines.
+    /// Number of blocks imported from other engines.
     imported_blocks: u64,
 }
 
-/// The chunk text at `position` of the answer to `prompt`.
+/// Returns the text of the token at `position` in the answer to `prompt`.
 ///
 /// ```
 /// use cardamomvalve_standin::engine::token;
@@ -120,12 +121,12 @@
     format!("w{:04x} ", hash & 0xffff)
 }
 
-/// The whole answer of `count` tokens to `prompt`.
+/// Returns the complete answer of `count` tokens to `prompt`.
 pub fn answer_text(prompt: &str, count: u64) -> String {
     (0..count).map(|position| token(prompt, position)).collect()
 }
 
-/// Runs the engine.
+/// Runs the engine until the process ends.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let mut weights: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for pair in &options.weights {
@@ -216,7 +217,7 @@
     server::json(200, &serde_json::to_value(report).unwrap_or_default())
 }
 
-/// One generation on its way.
+/// A generation in progress.
 struct Generation {
     state: Rc<RefCell<State>>,
     kind: Kind,
@@ -288,7 +289,7 @@
     stream_response(&state, executor, whole, generation, &faults, wanted)
 }
 
-/// Carries an order out, unless its fencing number is old and this engine checks it.
+/// Executes an order. An engine that checks fencing refuses an outdated fencing number.
 async fn execute_order(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let Ok(order) = serde_json::from_slice::<Order>(&whole.body) else { return server::empty(400) };
     {
@@ -315,14 +316,14 @@
     server::empty(204)
 }
 
-/// What one engine asks another for.
+/// Body of `POST /kv`: blocks requested by another engine.
 #[derive(Debug, Serialize, Deserialize)]
 struct Export {
     incarnation: String,
     blocks: Vec<u64>,
 }
 
-/// How many of the leading blocks this engine holds, if it is the incarnation that is meant.
+/// Returns the number of leading blocks that this engine caches, or 0 for another incarnation.
 fn count_exportable_blocks(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
     let state = state.borrow();
     let held = match serde_json::from_slice::<Export>(&whole.body) {
@@ -335,7 +336,7 @@
     server::json(200, &json!({ "held": held }))
 }
 
-/// Imports leading blocks from the engine that `value` names, as far as it still holds them.
+/// Imports the leading blocks that the engine named in `value` still holds.
 async fn import_blocks(state: &Rc<RefCell<State>>, value: &str, blocks: &[Key]) -> Option<()> {
     let import_ms = state.borrow().options.import_ms?;
     let mut parts = value.split(';');
@@ -359,7 +360,7 @@
     Some(())
 }
 
-/// Computes what is not cached of the prompt, in order of priority; returns the cached tokens.
+/// Computes the uncached part of the prompt in order of priority and returns the cached tokens.
 async fn prefill(state: &Rc<RefCell<State>>, priority: u8, prompt: &str, blocks: &[Key]) -> u64 {
     let place = {
         let mut state = state.borrow_mut();
@@ -371,7 +372,7 @@
     while state.borrow().prefills.first_key_value().map(|(first, _)| *first) != Some(place) {
         Timer::after(PREFILL_POLL_INTERVAL).await;
     }
-    // First in line stays first while it computes: a later arrival may not overtake.
+    // A running prefill keeps the first position, so later arrivals can't overtake it.
     state.borrow_mut().prefills.remove(&place);
     let held = state.borrow().cache.cached_prefix_blocks(blocks) as u64 * u64::from(BLOCK_TOKENS);
     let total = (prompt.len() / BYTES_PER_TOKEN) as u64;
@@ -430,7 +431,7 @@
     }
 }
 
-/// Sends the chunks; `None` where the stream was cut or its reader left.
+/// Sends the chunks. Returns `None` if a fault ended the stream or its reader disconnected.
 async fn send_chunks(generation: &Generation, sender: &Sender) -> Option<()> {
     let token_ms = generation.state.borrow().options.token_ms;
     let faults = &generation.faults;
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds the router: log service, VM list, model engine, plain service,
-//! and a load tool. They are for tests and trials on one machine.
+//! Stand-ins for the systems around the router (log service, VM list, model engine, plain service)
+//! and a load tool, for tests and measurements on one machine.
 
 pub mod cache;
 pub mod call;
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -1,4 +1,5 @@
-//! A load tool: completions with nested shared prefixes and keyed payments, each answer checked.
+//! A load tool that sends completions with nested shared prefixes and payments with idempotency
+//! keys, and checks the answers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,10 +25,10 @@
     idle_timeout: Duration::from_secs(60),
     max_body_bytes: 16 << 20,
 };
-/// Times that one request is asked again after a refusal that says "not run".
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 20;
 
-/// The load tool's command line.
+/// Command-line options of the load tool.
 #[derive(Debug, Clone, Parser)]
 #[command(
     name = "cardamomvalve-load",
@@ -73,7 +74,7 @@
     pub json: bool,
 }
 
-/// What came of a load.
+/// Results of a load run.
 #[derive(Debug)]
 struct Summary {
     first_token_us: Histogram<u64>,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Sends the load and prints what came of it; an error where any answer was lost or wrong.
+/// Sends the load and prints a summary. Fails if any answer was lost or wrong.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let outside = options.to.iter().find(|address| !address.ip().is_loopback());
     if let Some(address) = outside {
@@ -157,7 +158,7 @@
     Some((address, request))
 }
 
-/// What came of one ask.
+/// Result of one attempt at a request.
 enum Attempt {
     Finished,
     Retry(Duration),
@@ -211,7 +212,7 @@
     let start = Instant::now();
     let mut answer = match client::send(address, request, LIMITS).await {
         Ok(answer) => answer,
-        // A completion may be repeated: nothing hangs on its running once.
+        // Completions have no side effects, so a repeat is safe.
         Err(failure) => return retry_after_error(failure.reason),
     };
     if u16::from(answer.response.status()) != 200 {
@@ -299,10 +300,10 @@
             }
             Ok(answer) => match handle_refusal(answer).await {
                 Attempt::Retry(pause) => pause,
-                // The outcome is not known, and the system says so: nothing was lost in silence.
+                // Not a loss: the answer states that the outcome is unknown.
                 _ => return,
             },
-            // With a key it is safe to ask again.
+            // The idempotency key makes a retry safe.
             Err(_) => Duration::from_millis(100),
         };
         tally.borrow_mut().retries += 1;
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log service: append-only streams with offsets, kept in memory.
+//! A stand-in for the platform's log service: append-only streams with offsets, held in memory.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,12 +15,12 @@
 
 use crate::serve;
 
-/// Records that a read returns at most.
+/// Maximum number of records that a read returns.
 const MAX_PAGE_RECORDS: usize = 10_000;
-/// Time between two looks for a new record while a read waits.
+/// Interval at which a waiting read checks for new records.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The log service's command line.
+/// Command-line options of the log service.
 #[derive(Debug, Parser)]
 #[command(name = "standin-log", version, about = "A stand-in for the platform's log service")]
 pub struct Options {
@@ -32,28 +32,28 @@
     pub retention_s: u64,
 }
 
-/// How the log service misbehaves.
+/// Fault mode of the log service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Not at all.
+    /// No fault.
     #[default]
     Up,
-    /// It refuses everything.
+    /// Refuses every request.
     Down,
-    /// It appends, and then cuts the connection in place of an answer.
+    /// Appends the record, then closes the connection without an answer.
     LoseAnswers,
-    /// It answers an append as failed, and appends it later.
+    /// Appends the record after the caller's time limit, without an answer.
     LandLate,
 }
 
-/// What is set with `PUT /faults`.
+/// Faults set with `PUT /faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How it misbehaves.
+    /// Fault mode.
     pub mode: Mode,
-    /// Milliseconds that every answer is delayed by.
+    /// Delay of every answer in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -108,7 +108,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
 }
 
-/// Runs the log service.
+/// Runs the log service until the process ends.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = State { retention_s: options.retention_s, ..State::default() };
     let state = Rc::new(RefCell::new(state));
@@ -157,7 +157,7 @@
             None
         }
         Mode::LandLate => {
-            // The caller's own time limit passes first.
+            // Longer than the caller's time limit.
             Timer::after(Duration::from_secs(4)).await;
             landed(text);
             None
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP for a stand-in: one listener, one thread, one handler.
+//! HTTP server of a stand-in, with one listener, one thread and one handler.
 
 use std::future::Future;
 use std::io::Write as _;
@@ -12,14 +12,14 @@
 use cardamomvalve::http::{Socket, header};
 use http_types::{Request, Response};
 
-/// Time that a connection may stay silent.
+/// Maximum time that a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bytes of a request's body.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// Listens on `address`, prints a ready line, and serves until the process ends.
+/// Listens on `address`, prints a ready line and serves until the process ends.
 ///
-/// `handle` answers each request; `None` closes the connection without an answer.
+/// `handle` answers each request. If it returns `None`, the connection is closed without an answer.
 pub fn run<F, Fut>(name: &str, address: SocketAddr, handle: F) -> eyre::Result<()>
 where
     F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut + 'static,
@@ -73,13 +73,13 @@
     Ok(answer)
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter.
 pub fn query_param<T: std::str::FromStr>(request: &Request, name: &str) -> Option<T> {
     let (_, value) = request.url().query_pairs().find(|(key, _)| key == name)?;
     value.parse().ok()
 }
 
-/// The value of a header that is given once.
+/// Returns the value of a header that occurs exactly once.
 pub fn header_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     header::single(request.as_ref(), name).ok().flatten()
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that must not run a payment twice, and counts what ran.
+//! A stand-in for a plain service. It counts runs, so that tests can find payments that ran twice.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 
 use crate::serve;
 
-/// The service's command line.
+/// Command-line options of the service.
 #[derive(Debug, Parser)]
 #[command(name = "standin-service", version, about = "A stand-in for a plain service")]
 pub struct Options {
@@ -27,30 +27,31 @@
     pub ends_on: Option<String>,
 }
 
-/// What is set with `PUT /faults`.
+/// Faults set with `PUT /faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Milliseconds that every answer is delayed by, after the run.
+    /// Delay of every answer after the run, in milliseconds.
     pub delay_ms: u64,
-    /// Run, and then cut the connection in place of an answer.
+    /// Run the request, then close the connection without an answer.
     pub cut: bool,
-    /// Run, and answer with a body cut short of its length.
+    /// Run the request and answer with a body shorter than its declared length.
     pub short: bool,
-    /// Bytes that the answer is filled up with.
+    /// Number of filler bytes in the answer.
     pub filler: usize,
 }
 
 #[derive(Debug, Default)]
 struct State {
     faults: Faults,
-    /// Runs by workspace, path and body.
+    /// Number of runs by workspace, path and body.
     run_counts: BTreeMap<String, u64>,
     receipts: u64,
     crash_text: Option<String>,
 }
 
-/// Runs the service: every request to any path but `/runs` and `/faults` is a run.
+/// Runs the service until the process ends. Every request counts as a run, except
+/// `GET /runs` and `PUT /faults`.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let ends_on = options.ends_on.clone();
     let state = Rc::new(RefCell::new(State { crash_text: ends_on, ..State::default() }));
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list.
+//! A stand-in for the platform's VM list.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use crate::serve;
 
-/// The VM list's command line.
+/// Command-line options of the VM list.
 #[derive(Debug, Parser)]
 #[command(name = "standin-vms", version, about = "A stand-in for the platform's VM list")]
 pub struct Options {
@@ -26,8 +26,8 @@
     down: bool,
 }
 
-/// Runs the VM list: `GET /vms` reads it, `PUT /vms` replaces it, `PUT /down` and `PUT /up` make
-/// it fail and work again.
+/// Runs the VM list until the process ends. `GET /vms` reads the list and `PUT /vms` replaces it;
+/// `PUT /down` makes reads fail until `PUT /up`.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = Rc::new(RefCell::new(State::default()));
     serve::run("standin-vms", options.listen, move |_, whole| {
