--- a/standin/src/cache.rs
+++ b/standin/src/cache.rs
@@ -20,10 +20,10 @@
 }
 
 impl Cache {
-    /// Creates an empty cache of at most `limit` blocks.
-    pub fn new(limit: usize) -> Self {
+    /// Creates an empty cache of at most `max_blocks` blocks.
+    pub fn new(max_blocks: usize) -> Self {
         Self {
-            max_blocks: limit,
+            max_blocks,
             clock: 0,
             last_used: BTreeMap::new(),
             by_last_use: BTreeMap::new(),
@@ -43,8 +43,8 @@
         for block in blocks.iter().take(self.max_blocks).rev() {
             self.clock += 1;
             match self.last_used.insert(*block, self.clock) {
-                Some(before) => {
-                    self.by_last_use.remove(&before);
+                Some(previous_use) => {
+                    self.by_last_use.remove(&previous_use);
                 }
                 None => self.record_event(Change::Stored, *block),
             }
@@ -74,8 +74,8 @@
 
     /// Returns the retained events from sequence number `from` on.
     pub fn events(&self, from: u64) -> Vec<CacheEvent> {
-        let first = self.events.front().map_or(self.next_seq, |event| event.seq);
-        let skip = from.saturating_sub(first) as usize;
+        let first_seq = self.events.front().map_or(self.next_seq, |event| event.seq);
+        let skip = from.saturating_sub(first_seq) as usize;
         self.events.iter().skip(skip).copied().collect()
     }
 }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -152,20 +152,20 @@
         orders_refused: 0,
     };
     let state = Rc::new(RefCell::new(state));
-    serve::run("standin-engine", options.listen, move |executor, whole| {
-        handle_request(Rc::clone(&state), executor, whole)
+    serve::run("standin-engine", options.listen, move |executor, received| {
+        handle_request(Rc::clone(&state), executor, received)
     })
 }
 
 async fn handle_request(
     state: Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
-    whole: Received,
+    received: Received,
 ) -> Option<Response> {
-    let path = whole.request.url().path().to_owned();
-    match (whole.request.method(), path.as_str()) {
+    let path = received.request.url().path().to_owned();
+    match (received.request.method(), path.as_str()) {
         (Method::Put, "/faults") => {
-            state.borrow_mut().faults = serde_json::from_slice(&whole.body).unwrap_or_default();
+            state.borrow_mut().faults = serde_json::from_slice(&received.body).unwrap_or_default();
             Some(server::empty(204))
         }
         (Method::Put, "/leave") => {
@@ -173,12 +173,12 @@
             Some(server::empty(204))
         }
         (Method::Put, "/weights") => {
-            state.borrow_mut().weights = serde_json::from_slice(&whole.body).ok()?;
+            state.borrow_mut().weights = serde_json::from_slice(&received.body).ok()?;
             Some(server::empty(204))
         }
-        (Method::Get, "/report") => Some(report_response(&state, &whole)),
-        (Method::Post, "/orders") => Some(execute_order(&state, &whole).await),
-        (Method::Post, "/kv") => Some(count_exportable_blocks(&state, &whole)),
+        (Method::Get, "/report") => Some(report_response(&state, &received)),
+        (Method::Post, "/orders") => Some(execute_order(&state, &received).await),
+        (Method::Post, "/kv") => Some(count_exportable_blocks(&state, &received)),
         (Method::Get, "/counts") => {
             let state = state.borrow();
             let counts = json!({
@@ -192,14 +192,14 @@
         }
         (Method::Post, path) => {
             let kind = Kind::from_path(path)?;
-            Some(handle_completion(state, executor, kind, &whole).await)
+            Some(handle_completion(state, executor, kind, &received).await)
         }
         _ => Some(server::empty(404)),
     }
 }
 
-fn report_response(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
-    let from: u64 = serve::query_param(&whole.request, "from").unwrap_or(0);
+fn report_response(state: &Rc<RefCell<State>>, received: &Received) -> Response {
+    let from: u64 = serve::query_param(&received.request, "from").unwrap_or(0);
     let state = state.borrow();
     let report = Report {
         incarnation: state.incarnation.clone(),
@@ -229,28 +229,32 @@
     faults: Faults,
 }
 
-fn decline_response(status: u16, why: &str) -> Response {
-    let mut answer = server::json(status, &json!({ "error": { "message": why } }));
-    answer.insert_header(header::EXECUTION, "not-run");
-    answer
+fn decline_response(status: u16, message: &str) -> Response {
+    let mut response = server::json(status, &json!({ "error": { "message": message } }));
+    response.insert_header(header::EXECUTION, "not-run");
+    response
 }
 
 async fn handle_completion(
     state: Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
     kind: Kind,
-    whole: &Received,
+    received: &Received,
 ) -> Response {
-    let Ok(body) = serde_json::from_slice::<Value>(&whole.body) else {
+    let Ok(body) = serde_json::from_slice::<Value>(&received.body) else {
         return decline_response(400, "the body is no JSON");
     };
     let Ok(prompt) = openai::prompt(kind, &body) else {
         return decline_response(400, "the prompt is missing");
     };
     let model = body["model"].as_str().unwrap_or_default();
-    let wanted = serve::header_value(&whole.request, header::WEIGHTS).unwrap_or_default();
-    let served =
-        state.borrow().weights.get(model).is_some_and(|versions| versions.contains(wanted));
+    let weights_version =
+        serve::header_value(&received.request, header::WEIGHTS).unwrap_or_default();
+    let served = state
+        .borrow()
+        .weights
+        .get(model)
+        .is_some_and(|versions| versions.contains(weights_version));
     if !served {
         return decline_response(409, "these weights are not loaded");
     }
@@ -261,23 +265,23 @@
     if let Some(status) = faults.decline {
         return decline_response(status, "declined as told");
     }
-    let salt = serve::header_value(&whole.request, header::CACHE_SALT).unwrap_or("0");
+    let salt = serve::header_value(&received.request, header::CACHE_SALT).unwrap_or("0");
     let blocks = prefix::chain(Key(u64::from_str_radix(salt, 16).unwrap_or(0)), prompt.as_bytes());
-    let priority = match serve::header_value(&whole.request, header::PRIORITY) {
+    let priority = match serve::header_value(&received.request, header::PRIORITY) {
         Some("urgent") => 0,
         Some("background") => 2,
         _ => 1,
     };
-    if let Some(value) = serve::header_value(&whole.request, header::KV_IMPORT) {
+    if let Some(value) = serve::header_value(&received.request, header::KV_IMPORT) {
         import_blocks(&state, value, &blocks).await;
     }
     let cached = prefill(&state, priority, &prompt, &blocks).await;
     if state.borrow().options.ends_on.as_ref().is_some_and(|text| prompt.contains(text)) {
         std::process::exit(1);
     }
-    let from = serve::header_value(&whole.request, header::RESUME_FROM);
+    let resume_from = serve::header_value(&received.request, header::RESUME_FROM);
     let generation = Generation {
-        first_position: from.and_then(|from| from.parse().ok()).unwrap_or(0),
+        first_position: resume_from.and_then(|value| value.parse().ok()).unwrap_or(0),
         prompt: if faults.wrong_attempt { "another prompt".into() } else { prompt.clone() },
         max_tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS),
         prompt_tokens: (prompt.len() / BYTES_PER_TOKEN) as u64,
@@ -286,12 +290,12 @@
         faults: faults.clone(),
         state: Rc::clone(&state),
     };
-    stream_response(&state, executor, whole, generation, &faults, wanted)
+    stream_response(&state, executor, received, generation, &faults, weights_version)
 }
 
 /// Executes an order. An engine that checks fencing refuses an outdated fencing number.
-async fn execute_order(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
-    let Ok(order) = serde_json::from_slice::<Order>(&whole.body) else { return server::empty(400) };
+async fn execute_order(state: &Rc<RefCell<State>>, input: &Received) -> Response {
+    let Ok(order) = serde_json::from_slice::<Order>(&input.body) else { return server::empty(400) };
     {
         let mut state = state.borrow_mut();
         if state.options.checks_fencing && order.fence < state.highest_fence {
@@ -324,11 +328,11 @@
 }
 
 /// Returns the number of leading blocks that this engine caches, or 0 for another incarnation.
-fn count_exportable_blocks(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+fn count_exportable_blocks(state: &Rc<RefCell<State>>, received: &Received) -> Response {
     let state = state.borrow();
-    let held = match serde_json::from_slice::<Export>(&whole.body) {
-        Ok(ask) if ask.incarnation == state.incarnation => {
-            let blocks: Vec<Key> = ask.blocks.into_iter().map(Key).collect();
+    let held = match serde_json::from_slice::<Export>(&received.body) {
+        Ok(export) if export.incarnation == state.incarnation => {
+            let blocks: Vec<Key> = export.blocks.into_iter().map(Key).collect();
             state.cache.cached_prefix_blocks(&blocks)
         }
         _ => 0,
@@ -343,59 +347,59 @@
     let address = parts.next()?.parse().ok()?;
     let incarnation = parts.next()?.to_owned();
     let count: usize = parts.next()?.parse().ok()?;
-    let wanted = &blocks[..count.min(blocks.len())];
-    let cached = state.borrow().cache.cached_prefix_blocks(wanted);
-    let ask = Export { incarnation, blocks: wanted.iter().map(|key| key.0).collect() };
-    let body = serde_json::to_string(&ask).ok()?;
-    let (_, answer) =
+    let requested = &blocks[..count.min(blocks.len())];
+    let cached = state.borrow().cache.cached_prefix_blocks(requested);
+    let export = Export { incarnation, blocks: requested.iter().map(|key| key.0).collect() };
+    let body = serde_json::to_string(&export).ok()?;
+    let (_, response) =
         client::send_json(address, Method::Post, "/kv", Some(body), clients::LIMITS).await.ok()?;
-    let answer: Value = serde_json::from_slice(&answer).ok()?;
-    let held = answer["held"].as_u64()? as usize;
+    let response: Value = serde_json::from_slice(&response).ok()?;
+    let held = response["held"].as_u64()? as usize;
     let imported = held.saturating_sub(cached);
-    let micros = imported as f64 * import_ms * 1_000.0;
-    Timer::after(Duration::from_micros(micros as u64)).await;
+    let duration_us = imported as f64 * import_ms * 1_000.0;
+    Timer::after(Duration::from_micros(duration_us as u64)).await;
     let mut state = state.borrow_mut();
     state.imported_blocks += imported as u64;
-    state.cache.access(&wanted[..held.min(wanted.len())]);
+    state.cache.access(&requested[..held.min(requested.len())]);
     Some(())
 }
 
 /// Computes the uncached part of the prompt in order of priority and returns the cached tokens.
 async fn prefill(state: &Rc<RefCell<State>>, priority: u8, prompt: &str, blocks: &[Key]) -> u64 {
-    let place = {
+    let queue_key = {
         let mut state = state.borrow_mut();
         state.arrivals += 1;
-        let place = (priority, state.arrivals);
-        state.prefills.insert(place, (prompt.len() / BYTES_PER_TOKEN) as u64);
-        place
+        let queue_key = (priority, state.arrivals);
+        state.prefills.insert(queue_key, (prompt.len() / BYTES_PER_TOKEN) as u64);
+        queue_key
     };
-    while state.borrow().prefills.first_key_value().map(|(first, _)| *first) != Some(place) {
+    while state.borrow().prefills.first_key_value().map(|(first, _)| *first) != Some(queue_key) {
         Timer::after(PREFILL_POLL_INTERVAL).await;
     }
     // A running prefill keeps the first position, so later arrivals can't overtake it.
-    state.borrow_mut().prefills.remove(&place);
-    let held = state.borrow().cache.cached_prefix_blocks(blocks) as u64 * u64::from(BLOCK_TOKENS);
+    state.borrow_mut().prefills.remove(&queue_key);
+    let cached = state.borrow().cache.cached_prefix_blocks(blocks) as u64 * u64::from(BLOCK_TOKENS);
     let total = (prompt.len() / BYTES_PER_TOKEN) as u64;
-    let under_way = (0, 0);
-    state.borrow_mut().prefills.insert(under_way, total.saturating_sub(held));
-    let speed = u64::from(state.borrow().options.prefill_tokens_per_s);
-    let micros = total.saturating_sub(held) * 1_000_000 / speed.max(1);
-    Timer::after(Duration::from_micros(micros)).await;
+    let running_key = (0, 0);
+    state.borrow_mut().prefills.insert(running_key, total.saturating_sub(cached));
+    let tokens_per_s = u64::from(state.borrow().options.prefill_tokens_per_s);
+    let duration_us = total.saturating_sub(cached) * 1_000_000 / tokens_per_s.max(1);
+    Timer::after(Duration::from_micros(duration_us)).await;
     let mut state = state.borrow_mut();
-    state.prefills.remove(&under_way);
+    state.prefills.remove(&running_key);
     state.cache.access(blocks);
-    held.min(total)
+    cached.min(total)
 }
 
 fn stream_response(
     state: &Rc<RefCell<State>>,
     executor: Rc<LocalExecutor<'static>>,
-    whole: &Received,
+    received: &Received,
     generation: Generation,
     faults: &Faults,
     weights: &str,
 ) -> Response {
-    let attempt = serve::header_value(&whole.request, header::ATTEMPT).unwrap_or_default();
+    let attempt = serve::header_value(&received.request, header::ATTEMPT).unwrap_or_default();
     let attempt = if faults.wrong_attempt { "another" } else { attempt };
     let incarnation = if faults.wrong_incarnation {
         "another".into()
@@ -406,14 +410,14 @@
     let (sender, receiver) = async_channel::bounded(1);
     executor.spawn(generate(generation, sender)).detach();
     let reader = Box::pin(receiver).into_async_read();
-    let mut answer = server::empty(200);
-    answer.set_body(Body::from_reader(reader, None));
-    answer.insert_header("content-type", "text/event-stream");
-    answer.insert_header(header::ATTEMPT, attempt);
-    answer.insert_header(header::INCARNATION, incarnation);
-    answer.insert_header(header::WEIGHTS, weights);
-    answer.insert_header(header::CACHED_TOKENS, cached.to_string());
-    answer
+    let mut response = server::empty(200);
+    response.set_body(Body::from_reader(reader, None));
+    response.insert_header("content-type", "text/event-stream");
+    response.insert_header(header::ATTEMPT, attempt);
+    response.insert_header(header::INCARNATION, incarnation);
+    response.insert_header(header::WEIGHTS, weights);
+    response.insert_header(header::CACHED_TOKENS, cached.to_string());
+    response
 }
 
 type Sender = async_channel::Sender<std::io::Result<Vec<u8>>>;
@@ -421,10 +425,10 @@
 async fn generate(generation: Generation, sender: Sender) {
     let state = Rc::clone(&generation.state);
     state.borrow_mut().running += 1;
-    let complete = send_chunks(&generation, &sender).await;
+    let completed = send_chunks(&generation, &sender).await;
     let mut state = state.borrow_mut();
     state.running -= 1;
-    if complete.is_some() {
+    if completed.is_some() {
         state.generated += 1;
     } else {
         state.cancelled += 1;
@@ -468,19 +472,19 @@
 
 fn chunk(generation: &Generation, position: u64) -> Value {
     let text = token(&generation.prompt, position);
-    let last = position + 1 == generation.max_tokens;
-    let reason = if last { json!("length") } else { Value::Null };
+    let is_last = position + 1 == generation.max_tokens;
+    let finish_reason = if is_last { json!("length") } else { Value::Null };
     let (object, choice) = match generation.kind {
         Kind::Text => {
-            ("text_completion", json!({ "index": 0, "text": text, "finish_reason": reason }))
+            ("text_completion", json!({ "index": 0, "text": text, "finish_reason": finish_reason }))
         }
         Kind::Chat => (
             "chat.completion.chunk",
-            json!({ "index": 0, "delta": { "content": text }, "finish_reason": reason }),
+            json!({ "index": 0, "delta": { "content": text }, "finish_reason": finish_reason }),
         ),
     };
     let mut chunk = json!({ "object": object, "choices": [choice] });
-    if last {
+    if is_last {
         chunk["usage"] = json!({
             "prompt_tokens": generation.prompt_tokens,
             "completion_tokens": generation.max_tokens,
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -103,56 +103,70 @@
         })
     }
 
-    fn record_error(&mut self, complaint: String) {
+    fn record_error(&mut self, error: String) {
         if self.errors.len() < 10 {
-            self.errors.push(complaint);
+            self.errors.push(error);
         }
     }
 }
 
 /// Sends the load and prints a summary. Fails if any answer was lost or wrong.
 pub fn run(options: &Options) -> eyre::Result<()> {
-    let outside = options.to.iter().find(|address| !address.ip().is_loopback());
-    if let Some(address) = outside {
+    let non_loopback = options.to.iter().find(|address| !address.ip().is_loopback());
+    if let Some(address) = non_loopback {
         eyre::bail!("{address} is not on loopback; this tool sends load nowhere else");
     }
-    let tally = Rc::new(RefCell::new(Summary::new()?));
+    let summary = Rc::new(RefCell::new(Summary::new()?));
     let executor = Rc::new(LocalExecutor::new());
-    let next = Rc::new(RefCell::new(0_u32));
+    let next_number = Rc::new(RefCell::new(0_u32));
     let workers: Vec<_> = (0..options.concurrency)
-        .map(|_| executor.spawn(run_worker(options.clone(), Rc::clone(&next), Rc::clone(&tally))))
+        .map(|_| {
+            executor.spawn(run_worker(
+                options.clone(),
+                Rc::clone(&next_number),
+                Rc::clone(&summary),
+            ))
+        })
         .collect();
     block_on(executor.run(async {
         for worker in workers {
             worker.await;
         }
     }));
-    let tally = tally.borrow();
-    print_summary(options, &tally);
-    eyre::ensure!(tally.wrong + tally.failed == 0, "answers were wrong or lost");
+    let summary = summary.borrow();
+    print_summary(options, &summary);
+    eyre::ensure!(summary.wrong + summary.failed == 0, "answers were wrong or lost");
     Ok(())
 }
 
-async fn run_worker(options: Options, next: Rc<RefCell<u32>>, tally: Rc<RefCell<Summary>>) {
+async fn run_worker(
+    options: Options,
+    next_number: Rc<RefCell<u32>>,
+    summary: Rc<RefCell<Summary>>,
+) {
     loop {
-        let number = next.replace_with(|number| *number + 1);
+        let number = next_number.replace_with(|number| *number + 1);
         if number >= options.requests {
             return;
         }
-        run_completion(&options, number, &tally).await;
+        run_completion(&options, number, &summary).await;
         if let Some(service) = &options.service {
-            run_payment(&options, service, number, &tally).await;
+            run_payment(&options, service, number, &summary).await;
         }
         Timer::after(Duration::from_millis(options.pause_ms)).await;
     }
 }
 
-fn repeat_to_length(name: &str, bytes: usize) -> String {
-    name.chars().cycle().take(bytes).collect()
+fn repeat_to_length(text: &str, bytes: usize) -> String {
+    text.chars().cycle().take(bytes).collect()
 }
 
-fn authorized_request(options: &Options, number: u32, path: &str) -> Option<(SocketAddr, Request)> {
-    let address = *options.to.get(number as usize % options.to.len())?;
+fn authorized_request(
+    options: &Options,
+    address_index: u32,
+    path: &str,
+) -> Option<(SocketAddr, Request)> {
+    let address = *options.to.get(address_index as usize % options.to.len())?;
     let mut request = client::request(Method::Post, address, path).ok()?;
     request.insert_header("authorization", format!("Bearer {}", options.key));
     Some((address, request))
@@ -165,7 +179,7 @@
     Failed(String),
 }
 
-async fn run_completion(options: &Options, number: u32, tally: &Rc<RefCell<Summary>>) {
+async fn run_completion(options: &Options, number: u32, summary: &Rc<RefCell<Summary>>) {
     let client = number % options.clients.max(1);
     let levels = (options.standard_bytes, options.standard_bytes + options.client_bytes);
     let prompt = format!(
@@ -173,32 +187,34 @@
         repeat_to_length("the standard says ", levels.0),
         repeat_to_length(&format!("client {client} "), options.client_bytes)
     );
-    for turn in 0..MAX_ATTEMPTS {
-        match attempt_completion(options, number + turn, &prompt, levels, tally).await {
+    for attempt in 0..MAX_ATTEMPTS {
+        match attempt_completion(options, number + attempt, &prompt, levels, summary).await {
             Attempt::Finished => return,
-            Attempt::Retry(pause) => {
-                tally.borrow_mut().retries += 1;
-                Timer::after(pause).await;
+            Attempt::Retry(delay) => {
+                summary.borrow_mut().retries += 1;
+                Timer::after(delay).await;
             }
-            Attempt::Failed(why) => {
-                tally.borrow_mut().failed += 1;
-                tally.borrow_mut().record_error(format!("completion {number}: {why}"));
+            Attempt::Failed(reason) => {
+                summary.borrow_mut().failed += 1;
+                summary.borrow_mut().record_error(format!("completion {number}: {reason}"));
                 return;
             }
         }
     }
-    tally.borrow_mut().failed += 1;
-    tally.borrow_mut().record_error(format!("completion {number}: refused {MAX_ATTEMPTS} times"));
+    summary.borrow_mut().failed += 1;
+    summary.borrow_mut().record_error(format!("completion {number}: refused {MAX_ATTEMPTS} times"));
 }
 
 async fn attempt_completion(
     options: &Options,
-    turn: u32,
+    address_index: u32,
     prompt: &str,
     levels: (usize, usize),
-    tally: &Rc<RefCell<Summary>>,
+    summary: &Rc<RefCell<Summary>>,
 ) -> Attempt {
-    let Some((address, mut request)) = authorized_request(options, turn, "/v1/completions") else {
+    let Some((address, mut request)) =
+        authorized_request(options, address_index, "/v1/completions")
+    else {
         return Attempt::Failed("no address".into());
     };
     request.insert_header(header::PREFIX_LEVELS, format!("{},{}", levels.0, levels.1));
@@ -229,15 +245,15 @@
             Err(error) => return retry_after_error(error.to_string()),
         };
         if message.data() == b"[DONE]" {
-            return check_answer(options, prompt, &text, &usage, tally);
+            return check_answer(options, prompt, &text, &usage, summary);
         }
         let chunk: Value = serde_json::from_slice(message.data()).unwrap_or_default();
         if message.name() == "error" {
             return Attempt::Failed(chunk.to_string());
         }
         if text.is_empty() {
-            let micros = start.elapsed().as_micros() as u64;
-            tally.borrow_mut().first_token_us.record(micros).ok();
+            let elapsed_us = start.elapsed().as_micros() as u64;
+            summary.borrow_mut().first_token_us.record(elapsed_us).ok();
         }
         text.push_str(chunk["choices"][0]["text"].as_str().unwrap_or_default());
         if !chunk["usage"].is_null() {
@@ -269,70 +285,76 @@
     prompt: &str,
     text: &str,
     usage: &Value,
-    tally: &Rc<RefCell<Summary>>,
+    summary: &Rc<RefCell<Summary>>,
 ) -> Attempt {
-    let mut tally = tally.borrow_mut();
-    tally.prompt_tokens += usage["prompt_tokens"].as_u64().unwrap_or(0);
-    tally.cached_tokens += usage["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap_or(0);
+    let mut summary = summary.borrow_mut();
+    summary.prompt_tokens += usage["prompt_tokens"].as_u64().unwrap_or(0);
+    summary.cached_tokens += usage["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap_or(0);
     if text == answer_text(prompt, options.tokens) {
-        tally.complete += 1;
+        summary.complete += 1;
     } else {
-        tally.wrong += 1;
-        tally.record_error("a completion's text is not the prompt's answer".to_owned());
+        summary.wrong += 1;
+        summary.record_error("a completion's text is not the prompt's answer".to_owned());
     }
     Attempt::Finished
 }
 
-async fn run_payment(options: &Options, service: &str, number: u32, tally: &Rc<RefCell<Summary>>) {
+async fn run_payment(
+    options: &Options,
+    service: &str,
+    number: u32,
+    summary: &Rc<RefCell<Summary>>,
+) {
     let key = format!("payment-{}-{number}", options.key);
-    for turn in 0..MAX_ATTEMPTS {
+    for attempt in 0..MAX_ATTEMPTS {
         let path = format!("/services/{service}/payments");
-        let Some((address, mut request)) = authorized_request(options, number + turn, &path) else {
+        let Some((address, mut request)) = authorized_request(options, number + attempt, &path)
+        else {
             return;
         };
         request.insert_header(header::IDEMPOTENCY_KEY, key.as_str());
         request.set_body(format!("{{\"payment\":{number}}}"));
-        let sent = client::send(address, request, LIMITS).await;
-        let pause = match sent {
+        let result = client::send(address, request, LIMITS).await;
+        let delay = match result {
             Ok(answer) if u16::from(answer.response.status()) == 200 => {
-                tally.borrow_mut().payments += 1;
+                summary.borrow_mut().payments += 1;
                 return;
             }
             Ok(answer) => match handle_refusal(answer).await {
-                Attempt::Retry(pause) => pause,
+                Attempt::Retry(delay) => delay,
                 // Not a loss: the answer states that the outcome is unknown.
                 _ => return,
             },
             // The idempotency key makes a retry safe.
             Err(_) => Duration::from_millis(100),
         };
-        tally.borrow_mut().retries += 1;
-        Timer::after(pause).await;
+        summary.borrow_mut().retries += 1;
+        Timer::after(delay).await;
     }
-    tally.borrow_mut().failed += 1;
-    tally.borrow_mut().record_error(format!("payment {number}: refused {MAX_ATTEMPTS} times"));
+    summary.borrow_mut().failed += 1;
+    summary.borrow_mut().record_error(format!("payment {number}: refused {MAX_ATTEMPTS} times"));
 }
 
-fn print_summary(options: &Options, tally: &Summary) {
-    let ms = |quantile: f64| tally.first_token_us.value_at_quantile(quantile) as f64 / 1_000.0;
-    let hit_rate = tally.cached_tokens as f64 / tally.prompt_tokens.max(1) as f64;
+fn print_summary(options: &Options, summary: &Summary) {
+    let ms = |quantile: f64| summary.first_token_us.value_at_quantile(quantile) as f64 / 1_000.0;
+    let hit_rate = summary.cached_tokens as f64 / summary.prompt_tokens.max(1) as f64;
     if options.json {
-        let figures = json!({
-            "complete": tally.complete,
-            "wrong": tally.wrong,
-            "failed": tally.failed,
-            "asked_again": tally.retries,
-            "payments": tally.payments,
+        let report = json!({
+            "complete": summary.complete,
+            "wrong": summary.wrong,
+            "failed": summary.failed,
+            "asked_again": summary.retries,
+            "payments": summary.payments,
             "hit_rate": hit_rate,
             "first_token_ms": {
                 "p50": ms(0.5), "p95": ms(0.95), "p99": ms(0.99), "max": ms(1.0),
             },
         });
-        println!("{figures}");
+        println!("{report}");
     } else {
         println!(
             "completions: {} complete, {} wrong, {} failed, {} asked again; payments: {}",
-            tally.complete, tally.wrong, tally.failed, tally.retries, tally.payments
+            summary.complete, summary.wrong, summary.failed, summary.retries, summary.payments
         );
         println!("prefix hit rate: {:.1}% of prompt tokens", hit_rate * 100.0);
         println!(
@@ -341,10 +363,10 @@
             ms(0.95),
             ms(0.99),
             ms(1.0),
-            tally.first_token_us.len()
+            summary.first_token_us.len()
         );
     }
-    for complaint in &tally.errors {
-        eprintln!("{complaint}");
+    for error in &summary.errors {
+        eprintln!("{error}");
     }
 }
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -68,10 +68,10 @@
         self.first_offset + self.lines.len() as u64
     }
 
-    fn expire(&mut self, before_ms: u64) {
-        let old = self.lines.iter().take_while(|line| line.time_ms < before_ms).count();
-        self.lines.drain(..old);
-        self.first_offset += old as u64;
+    fn expire(&mut self, cutoff_ms: u64) {
+        let expired = self.lines.iter().take_while(|line| line.time_ms < cutoff_ms).count();
+        self.lines.drain(..expired);
+        self.first_offset += expired as u64;
     }
 }
 
@@ -91,9 +91,9 @@
     }
 
     fn read_page(&mut self, name: &str, from: u64, limit: usize) -> Page {
-        let before_ms = now_ms().saturating_sub(self.retention_s * 1_000);
+        let cutoff_ms = now_ms().saturating_sub(self.retention_s * 1_000);
         let stream = self.streams.entry(name.to_owned()).or_default();
-        stream.expire(before_ms);
+        stream.expire(cutoff_ms);
         let records = stream.lines.iter().filter(|line| line.offset >= from).take(limit).cloned();
         Page {
             first: stream.first_offset,
@@ -112,15 +112,15 @@
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = State { retention_s: options.retention_s, ..State::default() };
     let state = Rc::new(RefCell::new(state));
-    serve::run("standin-log", options.listen, move |_, whole| {
-        handle_request(Rc::clone(&state), whole)
+    serve::run("standin-log", options.listen, move |_, received| {
+        handle_request(Rc::clone(&state), received)
     })
 }
 
-async fn handle_request(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
-    let path = whole.request.url().path().to_owned();
+async fn handle_request(state: Rc<RefCell<State>>, received: Received) -> Option<Response> {
+    let path = received.request.url().path().to_owned();
     if path == "/faults" {
-        let faults = serde_json::from_slice(&whole.body).unwrap_or_default();
+        let faults = serde_json::from_slice(&received.body).unwrap_or_default();
         state.borrow_mut().faults = faults;
         return Some(server::empty(204));
     }
@@ -132,50 +132,50 @@
         return Some(server::empty(503));
     }
     let name = path.strip_prefix("/streams/")?.strip_suffix("/records")?.to_owned();
-    match whole.request.method() {
-        Method::Post => append(&state, &name, whole, faults.mode).await,
-        _ => Some(read(&state, &name, &whole).await),
+    match received.request.method() {
+        Method::Post => append(&state, &name, received, faults.mode).await,
+        _ => Some(read(&state, &name, &received).await),
     }
 }
 
 async fn append(
     state: &Rc<RefCell<State>>,
     name: &str,
-    whole: Received,
+    received: Received,
     mode: Mode,
 ) -> Option<Response> {
-    let text = String::from_utf8(whole.body).ok()?;
-    let landed = |text| {
+    let text = String::from_utf8(received.body).ok()?;
+    let append_response = |text| {
         let offset = state.borrow_mut().append(name, text);
         let body = serde_json::to_value(Landed { offset }).unwrap_or_default();
         server::json(201, &body)
     };
     match mode {
-        Mode::Up | Mode::Down => Some(landed(text)),
+        Mode::Up | Mode::Down => Some(append_response(text)),
         Mode::LoseAnswers => {
-            landed(text);
+            append_response(text);
             None
         }
         Mode::LandLate => {
             // Longer than the caller's time limit.
             Timer::after(Duration::from_secs(4)).await;
-            landed(text);
+            append_response(text);
             None
         }
     }
 }
 
-async fn read(state: &Rc<RefCell<State>>, name: &str, whole: &Received) -> Response {
-    let from: u64 = serve::query_param(&whole.request, "from").unwrap_or(0);
-    let limit: usize = serve::query_param(&whole.request, "limit").unwrap_or(MAX_PAGE_RECORDS);
-    let wait_ms: u64 = serve::query_param(&whole.request, "wait_ms").unwrap_or(0);
-    let mut looks = wait_ms / POLL_INTERVAL.as_millis() as u64;
+async fn read(state: &Rc<RefCell<State>>, name: &str, received: &Received) -> Response {
+    let from: u64 = serve::query_param(&received.request, "from").unwrap_or(0);
+    let limit: usize = serve::query_param(&received.request, "limit").unwrap_or(MAX_PAGE_RECORDS);
+    let wait_ms: u64 = serve::query_param(&received.request, "wait_ms").unwrap_or(0);
+    let mut polls_left = wait_ms / POLL_INTERVAL.as_millis() as u64;
     loop {
         let page = state.borrow_mut().read_page(name, from, limit.min(MAX_PAGE_RECORDS));
-        if !page.records.is_empty() || looks == 0 || state.borrow().faults.mode == Mode::Down {
+        if !page.records.is_empty() || polls_left == 0 || state.borrow().faults.mode == Mode::Down {
             return server::json(200, &serde_json::to_value(page).unwrap_or_default());
         }
-        looks -= 1;
+        polls_left -= 1;
         Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -37,12 +37,12 @@
             };
             let socket = Socket::new(stream, IDLE_TIMEOUT);
             let (handle, spawner) = (Rc::clone(&handle), Rc::clone(&executor));
-            let serving = async move {
+            let connection_task = async move {
                 let endpoint =
                     |request, socket| handle_request(&*handle, &spawner, request, socket);
                 server::serve(socket, endpoint).await.ok();
             };
-            executor.spawn(serving).detach();
+            executor.spawn(connection_task).detach();
         }
     }))
 }
@@ -57,20 +57,20 @@
     F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut,
     Fut: Future<Output = Option<Response>>,
 {
-    let whole = match server::read(request, &socket, MAX_BODY_BYTES).await {
-        Ok(whole) => whole,
+    let received = match server::read(request, &socket, MAX_BODY_BYTES).await {
+        Ok(received) => received,
         Err(error) => {
             return Ok(server::json(400, &serde_json::json!({ "error": error.message() })));
         }
     };
-    let close = whole.close;
-    let answer = handle(Rc::clone(executor), whole).await;
-    let mut answer = answer
+    let close = received.close;
+    let response = handle(Rc::clone(executor), received).await;
+    let mut response = response
         .ok_or_else(|| http_types::Error::from_str(http_types::StatusCode::BadGateway, "cut"))?;
     if close {
-        answer.insert_header("connection", "close");
+        response.insert_header("connection", "close");
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// Returns the value of a query parameter.
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -53,18 +53,18 @@
 /// Runs the service until the process ends. Every request counts as a run, except
 /// `GET /runs` and `PUT /faults`.
 pub fn run(options: &Options) -> eyre::Result<()> {
-    let ends_on = options.ends_on.clone();
-    let state = Rc::new(RefCell::new(State { crash_text: ends_on, ..State::default() }));
-    serve::run("standin-service", options.listen, move |_, whole| {
-        handle_request(Rc::clone(&state), whole)
+    let crash_text = options.ends_on.clone();
+    let state = Rc::new(RefCell::new(State { crash_text, ..State::default() }));
+    serve::run("standin-service", options.listen, move |_, received| {
+        handle_request(Rc::clone(&state), received)
     })
 }
 
-async fn handle_request(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
-    let path = whole.request.url().path().to_owned();
-    match (whole.request.method(), path.as_str()) {
+async fn handle_request(state: Rc<RefCell<State>>, received: Received) -> Option<Response> {
+    let path = received.request.url().path().to_owned();
+    match (received.request.method(), path.as_str()) {
         (Method::Put, "/faults") => {
-            state.borrow_mut().faults = serde_json::from_slice(&whole.body).unwrap_or_default();
+            state.borrow_mut().faults = serde_json::from_slice(&received.body).unwrap_or_default();
             return Some(server::empty(204));
         }
         (Method::Get, "/runs") => {
@@ -73,8 +73,8 @@
         _ => {}
     }
     let workspace =
-        serve::header_value(&whole.request, "x-workspace").unwrap_or_default().to_owned();
-    let body = String::from_utf8_lossy(&whole.body).into_owned();
+        serve::header_value(&received.request, "x-workspace").unwrap_or_default().to_owned();
+    let body = String::from_utf8_lossy(&received.body).into_owned();
     if state.borrow().crash_text.as_ref().is_some_and(|text| body.contains(text)) {
         std::process::exit(1);
     }
@@ -91,14 +91,14 @@
         return None;
     }
     let filler = "x".repeat(faults.filler);
-    let trace = serve::header_value(&whole.request, "traceparent").unwrap_or_default();
+    let trace = serve::header_value(&received.request, "traceparent").unwrap_or_default();
     let body = json!({ "receipt": receipt, "path": path, "request": body, "filler": filler, "trace": trace });
-    let mut answer = server::json(200, &body);
+    let mut response = server::json(200, &body);
     if faults.short {
         let text = body.to_string();
         let reader = futures_lite::io::Cursor::new(text.clone().into_bytes());
-        answer.set_body(http_types::Body::from_reader(reader, Some(text.len() + 10)));
-        answer.insert_header("connection", "close");
+        response.set_body(http_types::Body::from_reader(reader, Some(text.len() + 10)));
+        response.insert_header("connection", "close");
     }
-    Some(answer)
+    Some(response)
 }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -30,15 +30,15 @@
 /// `PUT /down` makes reads fail until `PUT /up`.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = Rc::new(RefCell::new(State::default()));
-    serve::run("standin-vms", options.listen, move |_, whole| {
-        let answer = handle_request(&state, &whole);
-        async { Some(answer) }
+    serve::run("standin-vms", options.listen, move |_, received| {
+        let response = handle_request(&state, &received);
+        async { Some(response) }
     })
 }
 
-fn handle_request(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+fn handle_request(state: &Rc<RefCell<State>>, received: &Received) -> Response {
     let mut state = state.borrow_mut();
-    match (whole.request.method(), whole.request.url().path()) {
+    match (received.request.method(), received.request.url().path()) {
         (Method::Put, "/down") => {
             state.down = true;
             server::empty(204)
@@ -47,7 +47,7 @@
             state.down = false;
             server::empty(204)
         }
-        (Method::Put, "/vms") => match serde_json::from_slice(&whole.body) {
+        (Method::Put, "/vms") => match serde_json::from_slice(&received.body) {
             Ok(list) => {
                 state.list = list;
                 server::empty(204)
