--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -1,4 +1,5 @@
-//! A load tool: completions with nested shared prefixes and keyed payments, each answer checked.
+//! A load tool that sends completions with nested shared prefixes and payments with idempotency
+//! keys, and checks the answers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,10 +25,10 @@
     idle_timeout: Duration::from_secs(60),
     max_body_bytes: 16 << 20,
 };
-/// Times that one request is asked again after a refusal that says "not run".
-const MAX_ASKS: u32 = 20;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 20;
 
-/// The load tool's command line.
+/// Command-line options of the load tool.
 #[derive(Debug, Clone, Parser)]
 #[command(
     name = "cardamomvalve-load",
@@ -73,132 +74,148 @@
     pub json: bool,
 }
 
-/// What came of a load.
+/// Results of a load run.
 #[derive(Debug)]
-struct Tally {
+struct Summary {
     first_token_us: Histogram<u64>,
     complete: u64,
     wrong: u64,
     failed: u64,
-    asked_again: u64,
+    retries: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
     payments: u64,
-    complaints: Vec<String>,
+    errors: Vec<String>,
 }
 
-impl Tally {
+impl Summary {
     fn new() -> eyre::Result<Self> {
         Ok(Self {
             first_token_us: Histogram::new(3)?,
             complete: 0,
             wrong: 0,
             failed: 0,
-            asked_again: 0,
+            retries: 0,
             prompt_tokens: 0,
             cached_tokens: 0,
             payments: 0,
-            complaints: Vec::new(),
+            errors: Vec::new(),
         })
     }
 
-    fn complain(&mut self, complaint: String) {
-        if self.complaints.len() < 10 {
-            self.complaints.push(complaint);
+    fn record_error(&mut self, error: String) {
+        if self.errors.len() < 10 {
+            self.errors.push(error);
         }
     }
 }
 
-/// Sends the load and prints what came of it; an error where any answer was lost or wrong.
+/// Sends the load and prints a summary. Fails if any answer was lost or wrong.
 pub fn run(options: &Options) -> eyre::Result<()> {
-    let outside = options.to.iter().find(|address| !address.ip().is_loopback());
-    if let Some(address) = outside {
+    let non_loopback = options.to.iter().find(|address| !address.ip().is_loopback());
+    if let Some(address) = non_loopback {
         eyre::bail!("{address} is not on loopback; this tool sends load nowhere else");
     }
-    let tally = Rc::new(RefCell::new(Tally::new()?));
+    let summary = Rc::new(RefCell::new(Summary::new()?));
     let executor = Rc::new(LocalExecutor::new());
-    let next = Rc::new(RefCell::new(0_u32));
+    let next_number = Rc::new(RefCell::new(0_u32));
     let workers: Vec<_> = (0..options.concurrency)
-        .map(|_| executor.spawn(work(options.clone(), Rc::clone(&next), Rc::clone(&tally))))
+        .map(|_| {
+            executor.spawn(run_worker(
+                options.clone(),
+                Rc::clone(&next_number),
+                Rc::clone(&summary),
+            ))
+        })
         .collect();
     block_on(executor.run(async {
         for worker in workers {
             worker.await;
         }
     }));
-    let tally = tally.borrow();
-    print(options, &tally);
-    eyre::ensure!(tally.wrong + tally.failed == 0, "answers were wrong or lost");
+    let summary = summary.borrow();
+    print_summary(options, &summary);
+    eyre::ensure!(summary.wrong + summary.failed == 0, "answers were wrong or lost");
     Ok(())
 }
 
-async fn work(options: Options, next: Rc<RefCell<u32>>, tally: Rc<RefCell<Tally>>) {
+async fn run_worker(
+    options: Options,
+    next_number: Rc<RefCell<u32>>,
+    summary: Rc<RefCell<Summary>>,
+) {
     loop {
-        let number = next.replace_with(|number| *number + 1);
+        let number = next_number.replace_with(|number| *number + 1);
         if number >= options.requests {
             return;
         }
-        completion(&options, number, &tally).await;
+        run_completion(&options, number, &summary).await;
         if let Some(service) = &options.service {
-            payment(&options, service, number, &tally).await;
+            run_payment(&options, service, number, &summary).await;
         }
         Timer::after(Duration::from_millis(options.pause_ms)).await;
     }
 }
 
-fn filler(name: &str, bytes: usize) -> String {
-    name.chars().cycle().take(bytes).collect()
+fn repeat_to_length(text: &str, bytes: usize) -> String {
+    text.chars().cycle().take(bytes).collect()
 }
 
-fn head(options: &Options, number: u32, path: &str) -> Option<(SocketAddr, Request)> {
-    let address = *options.to.get(number as usize % options.to.len())?;
+fn authorized_request(
+    options: &Options,
+    address_index: u32,
+    path: &str,
+) -> Option<(SocketAddr, Request)> {
+    let address = *options.to.get(address_index as usize % options.to.len())?;
     let mut request = client::request(Method::Post, address, path).ok()?;
     request.insert_header("authorization", format!("Bearer {}", options.key));
     Some((address, request))
 }
 
-/// What came of one ask.
-enum Ask {
-    Answered,
-    Again(Duration),
+/// Result of one attempt at a request.
+enum Attempt {
+    Finished,
+    Retry(Duration),
     Failed(String),
 }
 
-async fn completion(options: &Options, number: u32, tally: &Rc<RefCell<Tally>>) {
+async fn run_completion(options: &Options, number: u32, summary: &Rc<RefCell<Summary>>) {
     let client = number % options.clients.max(1);
     let levels = (options.standard_bytes, options.standard_bytes + options.client_bytes);
     let prompt = format!(
         "{}{}case {number}",
-        filler("the standard says ", levels.0),
-        filler(&format!("client {client} "), options.client_bytes)
+        repeat_to_length("the standard says ", levels.0),
+        repeat_to_length(&format!("client {client} "), options.client_bytes)
     );
-    for turn in 0..MAX_ASKS {
-        match ask(options, number + turn, &prompt, levels, tally).await {
-            Ask::Answered => return,
-            Ask::Again(pause) => {
-                tally.borrow_mut().asked_again += 1;
-                Timer::after(pause).await;
+    for attempt in 0..MAX_ATTEMPTS {
+        match attempt_completion(options, number + attempt, &prompt, levels, summary).await {
+            Attempt::Finished => return,
+            Attempt::Retry(delay) => {
+                summary.borrow_mut().retries += 1;
+                Timer::after(delay).await;
             }
-            Ask::Failed(why) => {
-                tally.borrow_mut().failed += 1;
-                tally.borrow_mut().complain(format!("completion {number}: {why}"));
+            Attempt::Failed(reason) => {
+                summary.borrow_mut().failed += 1;
+                summary.borrow_mut().record_error(format!("completion {number}: {reason}"));
                 return;
             }
         }
     }
-    tally.borrow_mut().failed += 1;
-    tally.borrow_mut().complain(format!("completion {number}: refused {MAX_ASKS} times"));
+    summary.borrow_mut().failed += 1;
+    summary.borrow_mut().record_error(format!("completion {number}: refused {MAX_ATTEMPTS} times"));
 }
 
-async fn ask(
+async fn attempt_completion(
     options: &Options,
-    turn: u32,
+    address_index: u32,
     prompt: &str,
     levels: (usize, usize),
-    tally: &Rc<RefCell<Tally>>,
-) -> Ask {
-    let Some((address, mut request)) = head(options, turn, "/v1/completions") else {
-        return Ask::Failed("no address".into());
+    summary: &Rc<RefCell<Summary>>,
+) -> Attempt {
+    let Some((address, mut request)) =
+        authorized_request(options, address_index, "/v1/completions")
+    else {
+        return Attempt::Failed("no address".into());
     };
     request.insert_header(header::PREFIX_LEVELS, format!("{},{}", levels.0, levels.1));
     let body = json!({
@@ -211,11 +228,11 @@
     let start = Instant::now();
     let mut answer = match client::send(address, request, LIMITS).await {
         Ok(answer) => answer,
-        // A completion may be repeated: nothing hangs on its running once.
-        Err(failure) => return again_after(failure.reason),
+        // Completions have no side effects, so a repeat is safe.
+        Err(failure) => return retry_after_error(failure.reason),
     };
     if u16::from(answer.response.status()) != 200 {
-        return refused(answer).await;
+        return handle_refusal(answer).await;
     }
     let body = answer.response.take_body();
     let mut events = async_sse::decode(futures_lite::io::BufReader::new(body));
@@ -225,113 +242,119 @@
         let message = match event {
             Ok(Event::Message(message)) => message,
             Ok(Event::Retry(_)) => continue,
-            Err(error) => return again_after(error.to_string()),
+            Err(error) => return retry_after_error(error.to_string()),
         };
         if message.data() == b"[DONE]" {
-            return finish(options, prompt, &text, &usage, tally);
+            return check_answer(options, prompt, &text, &usage, summary);
         }
         let chunk: Value = serde_json::from_slice(message.data()).unwrap_or_default();
         if message.name() == "error" {
-            return Ask::Failed(chunk.to_string());
+            return Attempt::Failed(chunk.to_string());
         }
         if text.is_empty() {
-            let micros = start.elapsed().as_micros() as u64;
-            tally.borrow_mut().first_token_us.record(micros).ok();
+            let elapsed_us = start.elapsed().as_micros() as u64;
+            summary.borrow_mut().first_token_us.record(elapsed_us).ok();
         }
         text.push_str(chunk["choices"][0]["text"].as_str().unwrap_or_default());
         if !chunk["usage"].is_null() {
             usage = chunk["usage"].clone();
         }
     }
-    again_after("the stream ended early".into())
+    retry_after_error("the stream ended early".into())
 }
 
-fn again_after(_reason: String) -> Ask {
-    Ask::Again(Duration::from_millis(100))
+fn retry_after_error(_reason: String) -> Attempt {
+    Attempt::Retry(Duration::from_millis(100))
 }
 
-async fn refused(answer: client::Answer) -> Ask {
+async fn handle_refusal(answer: client::Answer) -> Attempt {
     let head = answer.response.as_ref();
     let retry_after = header::single(head, "retry-after").ok().flatten();
     let seconds: Option<u64> = retry_after.and_then(|value| value.parse().ok());
     match seconds {
-        Some(seconds) => Ask::Again(Duration::from_secs(seconds)),
+        Some(seconds) => Attempt::Retry(Duration::from_secs(seconds)),
         None => {
             let body = answer.read_whole().await.map(|(_, body)| body).unwrap_or_default();
-            Ask::Failed(String::from_utf8_lossy(&body).into_owned())
+            Attempt::Failed(String::from_utf8_lossy(&body).into_owned())
         }
     }
 }
 
-fn finish(
+fn check_answer(
     options: &Options,
     prompt: &str,
     text: &str,
     usage: &Value,
-    tally: &Rc<RefCell<Tally>>,
-) -> Ask {
-    let mut tally = tally.borrow_mut();
-    tally.prompt_tokens += usage["prompt_tokens"].as_u64().unwrap_or(0);
-    tally.cached_tokens += usage["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap_or(0);
+    summary: &Rc<RefCell<Summary>>,
+) -> Attempt {
+    let mut summary = summary.borrow_mut();
+    summary.prompt_tokens += usage["prompt_tokens"].as_u64().unwrap_or(0);
+    summary.cached_tokens += usage["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap_or(0);
     if text == answer_text(prompt, options.tokens) {
-        tally.complete += 1;
+        summary.complete += 1;
     } else {
-        tally.wrong += 1;
-        tally.complain("a completion's text is not the prompt's answer".to_owned());
+        summary.wrong += 1;
+        summary.record_error("a completion's text is not the prompt's answer".to_owned());
     }
-    Ask::Answered
+    Attempt::Finished
 }
 
-async fn payment(options: &Options, service: &str, number: u32, tally: &Rc<RefCell<Tally>>) {
+async fn run_payment(
+    options: &Options,
+    service: &str,
+    number: u32,
+    summary: &Rc<RefCell<Summary>>,
+) {
     let key = format!("payment-{}-{number}", options.key);
-    for turn in 0..MAX_ASKS {
+    for attempt in 0..MAX_ATTEMPTS {
         let path = format!("/services/{service}/payments");
-        let Some((address, mut request)) = head(options, number + turn, &path) else {
+        let Some((address, mut request)) = authorized_request(options, number + attempt, &path)
+        else {
             return;
         };
         request.insert_header(header::IDEMPOTENCY_KEY, key.as_str());
         request.set_body(format!("{{\"payment\":{number}}}"));
-        let sent = client::send(address, request, LIMITS).await;
-        let pause = match sent {
+        let result = client::send(address, request, LIMITS).await;
+        let delay = match result {
             Ok(answer) if u16::from(answer.response.status()) == 200 => {
-                tally.borrow_mut().payments += 1;
+                summary.borrow_mut().payments += 1;
                 return;
             }
-            Ok(answer) => match refused(answer).await {
-                Ask::Again(pause) => pause,
-                // The outcome is not known, and the system says so: nothing was lost in silence.
+            Ok(answer) => match handle_refusal(answer).await {
+                Attempt::Retry(delay) => delay,
+                // Not a loss: the answer states that the outcome is unknown.
                 _ => return,
             },
-            // With a key it is safe to ask again.
+            // The idempotency key makes a retry safe.
             Err(_) => Duration::from_millis(100),
         };
-        tally.borrow_mut().asked_again += 1;
-        Timer::after(pause).await;
+        summary.borrow_mut().retries += 1;
+        Timer::after(delay).await;
     }
-    tally.borrow_mut().failed += 1;
-    tally.borrow_mut().complain(format!("payment {number}: refused {MAX_ASKS} times"));
+    summary.borrow_mut().failed += 1;
+    summary.borrow_mut().record_error(format!("payment {number}: refused {MAX_ATTEMPTS} times"));
 }
 
-fn print(options: &Options, tally: &Tally) {
-    let ms = |quantile: f64| tally.first_token_us.value_at_quantile(quantile) as f64 / 1_000.0;
-    let hit_rate = tally.cached_tokens as f64 / tally.prompt_tokens.max(1) as f64;
+fn print_summary(options: &Options, summary: &Summary) {
+    let ms = |quantile: f64| summary.first_token_us.value_at_quantile(quantile) as f64 / 1_000.0;
+    let hit_rate = summary.cached_tokens as f64 / summary.prompt_tokens.max(1) as f64;
     if options.json {
-        let figures = json!({
-            "complete": tally.complete,
-            "wrong": tally.wrong,
-            "failed": tally.failed,
-            "asked_again": tally.asked_again,
-            "payments": tally.payments,
+        let report = json!({
+            "complete": summary.complete,
+            "wrong": summary.wrong,
+            "failed": summary.failed,
+            "asked_again": summary.retries,
+            "payments": summary.payments,
             "hit_rate": hit_rate,
             "first_token_ms": {
                 "p50": ms(0.5), "p95": ms(0.95), "p99": ms(0.99), "max": ms(1.0),
             },
         });
-        println!("{figures}");
+        println!("{report}");
     } else {
         println!(
             "completions: {} complete, {} wrong, {} failed, {} asked again; payments: {}",
-            tally.complete, tally.wrong, tally.failed, tally.asked_again, tally.payments
+            summary.complete, summary.wrong, summary.failed, summary.retries, summary.payments
         );
         println!("prefix hit rate: {:.1}% of prompt tokens", hit_rate * 100.0);
         println!(
@@ -340,10 +363,10 @@
             ms(0.95),
             ms(0.99),
             ms(1.0),
-            tally.first_token_us.len()
+            summary.first_token_us.len()
         );
     }
-    for complaint in &tally.complaints {
-        eprintln!("{complaint}");
+    for error in &summary.errors {
+        eprintln!("{error}");
     }
 }
--- a/standin/src/log.rs
+++ b/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log service: append-only streams with offsets, kept in memory.
+//! A stand-in for the platform's log service: append-only streams with offsets, held in memory.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,12 +15,12 @@
 
 use crate::serve;
 
-/// Records that a read returns at most.
-const MAX_RECORDS: usize = 10_000;
-/// Time between two looks for a new record while a read waits.
-const LOOK: Duration = Duration::from_millis(5);
+/// Maximum number of records that a read returns.
+const MAX_PAGE_RECORDS: usize = 10_000;
+/// Interval at which a waiting read checks for new records.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The log service's command line.
+/// Command-line options of the log service.
 #[derive(Debug, Parser)]
 #[command(name = "standin-log", version, about = "A stand-in for the platform's log service")]
 pub struct Options {
@@ -32,46 +32,46 @@
     pub retention_s: u64,
 }
 
-/// How the log service misbehaves.
+/// Fault mode of the log service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Not at all.
+    /// No fault.
     #[default]
     Up,
-    /// It refuses everything.
+    /// Refuses every request.
     Down,
-    /// It appends, and then cuts the connection in place of an answer.
+    /// Appends the record, then closes the connection without an answer.
     LoseAnswers,
-    /// It answers an append as failed, and appends it later.
+    /// Appends the record after the caller's time limit, without an answer.
     LandLate,
 }
 
-/// What is set with `PUT /faults`.
+/// Faults set with `PUT /faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How it misbehaves.
+    /// Fault mode.
     pub mode: Mode,
-    /// Milliseconds that every answer is delayed by.
+    /// Delay of every answer in milliseconds.
     pub delay_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct Stream {
-    first: u64,
+    first_offset: u64,
     lines: Vec<Entry>,
 }
 
 impl Stream {
-    fn next(&self) -> u64 {
-        self.first + self.lines.len() as u64
+    fn next_offset(&self) -> u64 {
+        self.first_offset + self.lines.len() as u64
     }
 
-    fn forget(&mut self, before_ms: u64) {
-        let old = self.lines.iter().take_while(|line| line.time_ms < before_ms).count();
-        self.lines.drain(..old);
-        self.first += old as u64;
+    fn expire(&mut self, cutoff_ms: u64) {
+        let expired = self.lines.iter().take_while(|line| line.time_ms < cutoff_ms).count();
+        self.lines.drain(..expired);
+        self.first_offset += expired as u64;
     }
 }
 
@@ -85,19 +85,19 @@
 impl State {
     fn append(&mut self, name: &str, text: String) -> u64 {
         let stream = self.streams.entry(name.to_owned()).or_default();
-        let offset = stream.next();
+        let offset = stream.next_offset();
         stream.lines.push(Entry { offset, time_ms: now_ms(), text });
         offset
     }
 
-    fn read(&mut self, name: &str, from: u64, limit: usize) -> Page {
-        let before_ms = now_ms().saturating_sub(self.retention_s * 1_000);
+    fn read_page(&mut self, name: &str, from: u64, limit: usize) -> Page {
+        let cutoff_ms = now_ms().saturating_sub(self.retention_s * 1_000);
         let stream = self.streams.entry(name.to_owned()).or_default();
-        stream.forget(before_ms);
+        stream.expire(cutoff_ms);
         let records = stream.lines.iter().filter(|line| line.offset >= from).take(limit).cloned();
         Page {
-            first: stream.first,
-            next: stream.next(),
+            first: stream.first_offset,
+            next: stream.next_offset(),
             retention_s: self.retention_s,
             records: records.collect(),
         }
@@ -108,17 +108,19 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
 }
 
-/// Runs the log service.
+/// Runs the log service until the process ends.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = State { retention_s: options.retention_s, ..State::default() };
     let state = Rc::new(RefCell::new(state));
-    serve::run("standin-log", options.listen, move |_, whole| answer(Rc::clone(&state), whole))
+    serve::run("standin-log", options.listen, move |_, received| {
+        handle_request(Rc::clone(&state), received)
+    })
 }
 
-async fn answer(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
-    let path = whole.request.url().path().to_owned();
+async fn handle_request(state: Rc<RefCell<State>>, received: Received) -> Option<Response> {
+    let path = received.request.url().path().to_owned();
     if path == "/faults" {
-        let faults = serde_json::from_slice(&whole.body).unwrap_or_default();
+        let faults = serde_json::from_slice(&received.body).unwrap_or_default();
         state.borrow_mut().faults = faults;
         return Some(server::empty(204));
     }
@@ -130,50 +132,50 @@
         return Some(server::empty(503));
     }
     let name = path.strip_prefix("/streams/")?.strip_suffix("/records")?.to_owned();
-    match whole.request.method() {
-        Method::Post => append(&state, &name, whole, faults.mode).await,
-        _ => Some(read(&state, &name, &whole).await),
+    match received.request.method() {
+        Method::Post => append(&state, &name, received, faults.mode).await,
+        _ => Some(read(&state, &name, &received).await),
     }
 }
 
 async fn append(
     state: &Rc<RefCell<State>>,
     name: &str,
-    whole: Received,
+    received: Received,
     mode: Mode,
 ) -> Option<Response> {
-    let text = String::from_utf8(whole.body).ok()?;
-    let landed = |text| {
+    let text = String::from_utf8(received.body).ok()?;
+    let append_response = |text| {
         let offset = state.borrow_mut().append(name, text);
         let body = serde_json::to_value(Ack { offset }).unwrap_or_default();
         server::json(201, &body)
     };
     match mode {
-        Mode::Up | Mode::Down => Some(landed(text)),
+        Mode::Up | Mode::Down => Some(append_response(text)),
         Mode::LoseAnswers => {
-            landed(text);
+            append_response(text);
             None
         }
         Mode::LandLate => {
-            // The caller's own time limit passes first.
+            // Longer than the caller's time limit.
             Timer::after(Duration::from_secs(4)).await;
-            landed(text);
+            append_response(text);
             None
         }
     }
 }
 
-async fn read(state: &Rc<RefCell<State>>, name: &str, whole: &Received) -> Response {
-    let from: u64 = serve::query(&whole.request, "from").unwrap_or(0);
-    let limit: usize = serve::query(&whole.request, "limit").unwrap_or(MAX_RECORDS);
-    let wait_ms: u64 = serve::query(&whole.request, "wait_ms").unwrap_or(0);
-    let mut looks = wait_ms / LOOK.as_millis() as u64;
+async fn read(state: &Rc<RefCell<State>>, name: &str, received: &Received) -> Response {
+    let from: u64 = serve::query_param(&received.request, "from").unwrap_or(0);
+    let limit: usize = serve::query_param(&received.request, "limit").unwrap_or(MAX_PAGE_RECORDS);
+    let wait_ms: u64 = serve::query_param(&received.request, "wait_ms").unwrap_or(0);
+    let mut polls_left = wait_ms / POLL_INTERVAL.as_millis() as u64;
     loop {
-        let page = state.borrow_mut().read(name, from, limit.min(MAX_RECORDS));
-        if !page.records.is_empty() || looks == 0 || state.borrow().faults.mode == Mode::Down {
+        let page = state.borrow_mut().read_page(name, from, limit.min(MAX_PAGE_RECORDS));
+        if !page.records.is_empty() || polls_left == 0 || state.borrow().faults.mode == Mode::Down {
             return server::json(200, &serde_json::to_value(page).unwrap_or_default());
         }
-        looks -= 1;
-        Timer::after(LOOK).await;
+        polls_left -= 1;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP for a stand-in: one listener, one thread, one handler.
+//! HTTP server of a stand-in, with one listener, one thread and one handler.
 
 use std::future::Future;
 use std::io::Write as _;
@@ -12,14 +12,14 @@
 use cardamomvalve::http::{Socket, header};
 use http_types::{Request, Response};
 
-/// Time that a connection may stay silent.
-const IDLE: Duration = Duration::from_secs(60);
-/// Bytes of a request's body.
-const MAX_BODY: u64 = 64 << 20;
+/// Maximum time that a connection may be idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// Listens on `address`, prints a ready line, and serves until the process ends.
+/// Listens on `address`, prints a ready line and serves until the process ends.
 ///
-/// `handle` answers each request; `None` closes the connection without an answer.
+/// `handle` answers each request. If it returns `None`, the connection is closed without an answer.
 pub fn run<F, Fut>(name: &str, address: SocketAddr, handle: F) -> eyre::Result<()>
 where
     F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut + 'static,
@@ -35,18 +35,19 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            let socket = Socket::new(stream, IDLE);
+            let socket = Socket::new(stream, IDLE_TIMEOUT);
             let (handle, spawner) = (Rc::clone(&handle), Rc::clone(&executor));
-            let serving = async move {
-                let endpoint = |request, socket| answer(&*handle, &spawner, request, socket);
+            let connection_task = async move {
+                let endpoint =
+                    |request, socket| handle_request(&*handle, &spawner, request, socket);
                 server::serve(socket, endpoint).await.ok();
             };
-            executor.spawn(serving).detach();
+            executor.spawn(connection_task).detach();
         }
     }))
 }
 
-async fn answer<F, Fut>(
+async fn handle_request<F, Fut>(
     handle: &F,
     executor: &Rc<LocalExecutor<'static>>,
     request: Request,
@@ -56,29 +57,29 @@
     F: Fn(Rc<LocalExecutor<'static>>, Received) -> Fut,
     Fut: Future<Output = Option<Response>>,
 {
-    let whole = match server::read(request, &socket, MAX_BODY).await {
-        Ok(whole) => whole,
+    let received = match server::read(request, &socket, MAX_BODY_BYTES).await {
+        Ok(received) => received,
         Err(error) => {
             return Ok(server::json(400, &serde_json::json!({ "error": error.message() })));
         }
     };
-    let close = whole.close;
-    let answer = handle(Rc::clone(executor), whole).await;
-    let mut answer = answer
+    let close = received.close;
+    let response = handle(Rc::clone(executor), received).await;
+    let mut response = response
         .ok_or_else(|| http_types::Error::from_str(http_types::StatusCode::BadGateway, "cut"))?;
     if close {
-        answer.insert_header("connection", "close");
+        response.insert_header("connection", "close");
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// The value of a query parameter.
-pub fn query<T: std::str::FromStr>(request: &Request, name: &str) -> Option<T> {
+/// Returns the value of a query parameter.
+pub fn query_param<T: std::str::FromStr>(request: &Request, name: &str) -> Option<T> {
     let (_, value) = request.url().query_pairs().find(|(key, _)| key == name)?;
     value.parse().ok()
 }
 
-/// The value of a header that is given once.
-pub fn value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+/// Returns the value of a header that occurs exactly once.
+pub fn header_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     header::single(request.as_ref(), name).ok().flatten()
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that must not run a payment twice, and counts what ran.
+//! A stand-in for a plain service. It counts runs, so that tests can find payments that ran twice.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 
 use crate::serve;
 
-/// The service's command line.
+/// Command-line options of the service.
 #[derive(Debug, Parser)]
 #[command(name = "standin-service", version, about = "A stand-in for a plain service")]
 pub struct Options {
@@ -27,56 +27,60 @@
     pub ends_on: Option<String>,
 }
 
-/// What is set with `PUT /faults`.
+/// Faults set with `PUT /faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Milliseconds that every answer is delayed by, after the run.
+    /// Delay of every answer after the run, in milliseconds.
     pub delay_ms: u64,
-    /// Run, and then cut the connection in place of an answer.
+    /// Run the request, then close the connection without an answer.
     pub cut: bool,
-    /// Run, and answer with a body cut short of its length.
+    /// Run the request and answer with a body shorter than its declared length.
     pub short: bool,
-    /// Bytes that the answer is filled up with.
+    /// Number of filler bytes in the answer.
     pub filler: usize,
 }
 
 #[derive(Debug, Default)]
 struct State {
     faults: Faults,
-    /// Runs by workspace, path and body.
-    runs: BTreeMap<String, u64>,
+    /// Number of runs by workspace, path and body.
+    run_counts: BTreeMap<String, u64>,
     receipts: u64,
-    ends_on: Option<String>,
+    crash_text: Option<String>,
 }
 
-/// Runs the service: every request to any path but `/runs` and `/faults` is a run.
+/// Runs the service until the process ends. Every request counts as a run, except
+/// `GET /runs` and `PUT /faults`.
 pub fn run(options: &Options) -> eyre::Result<()> {
-    let ends_on = options.ends_on.clone();
-    let state = Rc::new(RefCell::new(State { ends_on, ..State::default() }));
-    serve::run("standin-service", options.listen, move |_, whole| answer(Rc::clone(&state), whole))
+    let crash_text = options.ends_on.clone();
+    let state = Rc::new(RefCell::new(State { crash_text, ..State::default() }));
+    serve::run("standin-service", options.listen, move |_, received| {
+        handle_request(Rc::clone(&state), received)
+    })
 }
 
-async fn answer(state: Rc<RefCell<State>>, whole: Received) -> Option<Response> {
-    let path = whole.request.url().path().to_owned();
-    match (whole.request.method(), path.as_str()) {
+async fn handle_request(state: Rc<RefCell<State>>, received: Received) -> Option<Response> {
+    let path = received.request.url().path().to_owned();
+    match (received.request.method(), path.as_str()) {
         (Method::Put, "/faults") => {
-            state.borrow_mut().faults = serde_json::from_slice(&whole.body).unwrap_or_default();
+            state.borrow_mut().faults = serde_json::from_slice(&received.body).unwrap_or_default();
             return Some(server::empty(204));
         }
         (Method::Get, "/runs") => {
-            return Some(server::json(200, &json!(state.borrow().runs)));
+            return Some(server::json(200, &json!(state.borrow().run_counts)));
         }
         _ => {}
     }
-    let workspace = serve::value(&whole.request, "x-workspace").unwrap_or_default().to_owned();
-    let body = String::from_utf8_lossy(&whole.body).into_owned();
-    if state.borrow().ends_on.as_ref().is_some_and(|text| body.contains(text)) {
+    let workspace =
+        serve::header_value(&received.request, "x-workspace").unwrap_or_default().to_owned();
+    let body = String::from_utf8_lossy(&received.body).into_owned();
+    if state.borrow().crash_text.as_ref().is_some_and(|text| body.contains(text)) {
         std::process::exit(1);
     }
     let (receipt, faults) = {
         let mut state = state.borrow_mut();
-        *state.runs.entry(format!("{workspace} {path} {body}")).or_default() += 1;
+        *state.run_counts.entry(format!("{workspace} {path} {body}")).or_default() += 1;
         state.receipts += 1;
         (state.receipts, state.faults.clone())
     };
@@ -87,14 +91,14 @@
         return None;
     }
     let filler = "x".repeat(faults.filler);
-    let trace = serve::value(&whole.request, "traceparent").unwrap_or_default();
+    let trace = serve::header_value(&received.request, "traceparent").unwrap_or_default();
     let body = json!({ "receipt": receipt, "path": path, "request": body, "filler": filler, "trace": trace });
-    let mut answer = server::json(200, &body);
+    let mut response = server::json(200, &body);
     if faults.short {
         let text = body.to_string();
         let reader = futures_lite::io::Cursor::new(text.clone().into_bytes());
-        answer.set_body(http_types::Body::from_reader(reader, Some(text.len() + 10)));
-        answer.insert_header("connection", "close");
+        response.set_body(http_types::Body::from_reader(reader, Some(text.len() + 10)));
+        response.insert_header("connection", "close");
     }
-    Some(answer)
+    Some(response)
 }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list.
+//! A stand-in for the platform's VM list.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use crate::serve;
 
-/// The VM list's command line.
+/// Command-line options of the VM list.
 #[derive(Debug, Parser)]
 #[command(name = "standin-vms", version, about = "A stand-in for the platform's VM list")]
 pub struct Options {
@@ -26,19 +26,19 @@
     down: bool,
 }
 
-/// Runs the VM list: `GET /vms` reads it, `PUT /vms` replaces it, `PUT /down` and `PUT /up` make
-/// it fail and work again.
+/// Runs the VM list until the process ends. `GET /vms` reads the list and `PUT /vms` replaces it;
+/// `PUT /down` makes reads fail until `PUT /up`.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let state = Rc::new(RefCell::new(State::default()));
-    serve::run("standin-vms", options.listen, move |_, whole| {
-        let answer = answer(&state, &whole);
-        async { Some(answer) }
+    serve::run("standin-vms", options.listen, move |_, received| {
+        let response = handle_request(&state, &received);
+        async { Some(response) }
     })
 }
 
-fn answer(state: &Rc<RefCell<State>>, whole: &Received) -> Response {
+fn handle_request(state: &Rc<RefCell<State>>, received: &Received) -> Response {
     let mut state = state.borrow_mut();
-    match (whole.request.method(), whole.request.url().path()) {
+    match (received.request.method(), received.request.url().path()) {
         (Method::Put, "/down") => {
             state.down = true;
             server::empty(204)
@@ -47,7 +47,7 @@
             state.down = false;
             server::empty(204)
         }
-        (Method::Put, "/vms") => match serde_json::from_slice(&whole.body) {
+        (Method::Put, "/vms") => match serde_json::from_slice(&received.body) {
             Ok(list) => {
                 state.list = list;
                 server::empty(204)
