--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! cardamomvalve: a router for language-model traffic that carries long shared prompts.
 //!
-//! [`control::Node`] makes the decisions; it is a deterministic state machine without I/O. The I/O is
-//! in [`entry`] (callers), [`clients`] (log service, VM list, engines), [`peer`] (other daemons),
+//! [`control::Node`], a deterministic state machine without I/O, makes the decisions. The I/O is in
+//! [`entry`] (callers), [`clients`] (log service, VM list, engines), [`peer`] (other daemons),
 //! [`ops`] (operators) and [`telemetry`].
 //!
 //! Requests that are forwarded unchanged take a separate path: [`route`] finds their route,
