--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend servers and routers live, leave or are dead, and in which incarnation.
+//! Table of backend servers and routers with their state, load and incarnation.
 
 mod report;
 mod state;
@@ -13,48 +13,48 @@
 pub use state::{Load, Notice, Server, State};
 
 slotmap::new_key_type! {
-    /// A backend server, as long as the VM list has it.
+    /// Key of a backend server while it is in the VM list.
     pub struct Key;
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// A router: one of our own daemons.
+    /// A daemon of this router.
     Router,
-    /// A model engine.
+    /// An engine, which serves models.
     ModelServer,
-    /// A plain service.
+    /// A backend server of a plain service.
     ServiceServer,
 }
 
-/// What the VM list says of a VM.
+/// State of a VM in the VM list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
     /// In use.
     Live,
-    /// About to be taken away.
+    /// Draining, and removed soon.
     Leaving,
 }
 
 /// One entry of the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its id, never used again.
+    /// Id, which no later VM gets.
     pub id: String,
-    /// What it is for.
+    /// Role.
     pub role: Role,
-    /// The pool that a backend server belongs to; empty for routers.
+    /// Pool of a backend server; empty for routers.
     #[serde(default)]
     pub pool: String,
-    /// Where it listens; for a router, its address for peers.
+    /// Address that it listens on; for a router, the one for peers.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Whether it is leaving.
+    /// State in the VM list.
     pub standing: Standing,
 }
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -1,63 +1,63 @@
-//! What an engine reports of itself.
+//! Reports of engines about their state and cache.
 
 use serde::{Deserialize, Serialize};
 
 use crate::prefix;
 use crate::prelude::*;
 
-/// What happened to one cached block.
+/// Change of one cached block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// It is now held.
+    /// The block was stored.
     Stored,
-    /// It is no longer held.
+    /// The block was evicted.
     Evicted,
 }
 
-/// One cache event.
+/// Change of the cache of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the engine's events from 0, without gaps.
+    /// Sequence number, from 0 for each incarnation and without gaps.
     pub seq: u64,
-    /// What happened.
+    /// Kind of change.
     pub change: Change,
-    /// The block's key.
+    /// Key of the block.
     pub block: u64,
 }
 
 impl CacheEvent {
-    /// The block's key.
+    /// Returns the key of the block.
     pub fn key(&self) -> prefix::Key {
         prefix::Key(self.block)
     }
 }
 
-/// An engine's state and its cache events since the sequence number asked for.
+/// State of an engine, and its cache events from the requested sequence number on.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Changes at every start of the engine.
+    /// Incarnation, which changes with each start of the engine.
     pub incarnation: String,
-    /// The sequence number that was asked for.
+    /// Requested sequence number.
     pub from: u64,
-    /// Whether the engine is leaving.
+    /// Whether the engine is draining.
     #[serde(default)]
     pub leaving: bool,
-    /// Weights versions that it serves, by model.
+    /// Loaded weights versions by model.
     pub weights: BTreeMap<String, BTreeSet<String>>,
-    /// Requests it generates for.
+    /// Running requests.
     pub running: u32,
-    /// Requests it has queued.
+    /// Queued requests.
     pub waiting: u32,
-    /// Prompt tokens still to be computed for the requests it has.
+    /// Prompt tokens not computed yet, over all its requests.
     pub queued_tokens: u64,
-    /// Prompt tokens that it computes in a second.
+    /// Prompt tokens computed per second.
     pub prefill_tokens_per_s: u32,
-    /// Milliseconds in which it imports one block from another engine; `None` where it can't.
+    /// Milliseconds per block imported from another engine; `None` for an engine without import.
     #[serde(default)]
     pub import_ms: Option<f64>,
-    /// The sequence number after the newest event.
+    /// Sequence number after the newest event.
     pub next_seq: u64,
-    /// Events from the number asked for, as far as they are still kept.
+    /// Events from the requested number on that the engine still keeps.
     pub events: Vec<CacheEvent>,
 }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! The table of backend servers and of routers.
+//! State of the table of backend servers and routers.
 
 use std::collections::VecDeque;
 
@@ -7,51 +7,51 @@
 use super::{Key, Report, Role, Standing, Vm};
 use crate::prelude::*;
 
-/// Polls in a row that must fail before an engine counts as unreachable.
+/// Consecutive failed polls after which an engine counts as unreachable.
 const UNREACHABLE_POLL_FAILURES: u32 = 2;
-/// How long a server that could not be connected to is passed over, at first.
+/// Time for which a server gets no requests after the first failed connection.
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
-/// How long it is passed over at most.
+/// Maximum of this time, which starts at [`MIN_BACKOFF`] and doubles with each failure.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
-/// Prompt tokens a second assumed of an engine that has not reported.
+/// Prefill rate assumed for an engine that has not reported.
 const ASSUMED_PREFILL_TOKENS_PER_S: u32 = 8_000;
 
-/// Servers that were leaving, and are not listed, that are remembered at most.
+/// Maximum number of remembered servers that drained and are not in the VM list.
 const MAX_UNLISTED_DRAINING: usize = 4_096;
 
-/// What an engine last reported of its load.
+/// Load that an engine last reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// When the report was read.
+    /// Time at which the report was read.
     pub read_at: Time,
-    /// Requests it generates for.
+    /// Running requests.
     pub running: u32,
-    /// Requests it has queued.
+    /// Queued requests.
     pub waiting: u32,
-    /// Prompt tokens still to be computed.
+    /// Prompt tokens not computed yet.
     pub queued_tokens: u64,
-    /// Prompt tokens computed in a second.
+    /// Prompt tokens computed per second.
     pub prefill_tokens_per_s: u32,
-    /// Milliseconds for the import of one block; `None` where it can't.
+    /// Milliseconds per imported block; `None` for an engine without import.
     pub import_ms: Option<f64>,
 }
 
 /// One backend server.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// What the VM list says.
+    /// Entry in the VM list.
     pub vm: Vm,
-    /// Whether any source said that it is leaving; never taken back for the same VM.
+    /// Whether any source reported it as draining; never reset for the same VM.
     pub draining: bool,
-    /// The incarnation it last reported; `None` before the first report.
+    /// Last reported incarnation; `None` before the first report.
     pub incarnation: Option<String>,
-    /// Weights versions by model.
+    /// Loaded weights versions by model.
     pub weights: BTreeMap<String, BTreeSet<String>>,
-    /// Its last reported load.
+    /// Last reported load.
     pub load: Load,
-    /// The sequence number of the next cache event wanted.
+    /// Sequence number of the next cache event to request.
     pub next_seq: u64,
-    /// When it was asked for what it answered last, or did not answer; `None` before that.
+    /// Time at which the last completed or failed poll was sent; `None` before the first.
     last_poll_sent_at: Option<Time>,
     failed_polls: u32,
     connect_failures: u32,
@@ -82,22 +82,22 @@
         }
     }
 
-    /// Whether it may be given new work.
+    /// Whether it may receive new requests.
     pub fn is_usable(&self, now: Time) -> bool {
         self.is_known() && !self.draining && self.is_reachable() && self.backoff_until <= now
     }
 
-    /// Whether it needs no report, or has reported.
+    /// Whether it has reported, or is a plain service and sends no reports.
     pub fn is_known(&self) -> bool {
         self.vm.role == Role::ServiceServer || self.incarnation.is_some()
     }
 
-    /// Whether its first report has neither come nor failed.
+    /// Whether its first report is outstanding and no poll has failed.
     pub fn awaits_first_report(&self) -> bool {
         !self.is_known() && self.failed_polls == 0
     }
 
-    /// Whether it may have what it did not report: it answers, stays, and was not asked at `since` or later.
+    /// Whether it may have unreported weights: a reachable, not draining engine, last polled before `since`.
     pub fn awaits_poll_since(&self, since: Time) -> bool {
         self.vm.role == Role::ModelServer
             && !self.draining
@@ -105,74 +105,74 @@
             && self.last_poll_sent_at.is_none_or(|at| at < since)
     }
 
-    /// Whether its polls succeed.
+    /// Whether it counts as reachable by its latest polls.
     pub fn is_reachable(&self) -> bool {
         self.failed_polls < UNREACHABLE_POLL_FAILURES
     }
 
-    /// Whether it serves `weights` of `model`.
+    /// Whether it has loaded `weights` of `model`.
     pub fn serves(&self, model: &str, weights: &str) -> bool {
         self.weights.get(model).is_some_and(|versions| versions.contains(weights))
     }
 }
 
-/// What changed for one server.
+/// A change of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
-    /// It was added.
+    /// It was added to the VM list.
     Added(Key),
-    /// It is leaving.
+    /// It is draining.
     Draining(Key),
-    /// It is gone from the VM list.
+    /// It was removed from the VM list.
     Removed(Key, String),
-    /// It came back under a new incarnation.
+    /// It restarted, with a new incarnation.
     Restarted(Key),
-    /// So many of its cache events were lost.
+    /// Some of its cache events were lost; holds their number.
     Gap(Key, u64),
-    /// It does not answer.
+    /// It became unreachable.
     Unreachable(Key),
-    /// It answers again.
+    /// It is reachable again.
     Reachable(Key),
 }
 
-/// All backend servers and routers that the VM list has.
+/// All backend servers and routers in the VM list.
 #[derive(Debug, Default)]
 pub struct State {
     servers: SlotMap<Key, Server>,
     ids: BTreeMap<String, Key>,
     routers: BTreeMap<String, Vm>,
-    /// Servers that are leaving and not listed, the last heard of at the end. An id is never used again, so
-    /// whoever lists one of them as live is late.
+    /// Ids of draining servers that are not in the VM list, the newest last. Ids are never reused, therefore
+    /// a list with one of them as live is outdated.
     unlisted_draining: VecDeque<String>,
 }
 
 impl State {
-    /// The server of this key.
+    /// Returns the server with this key.
     pub fn get(&self, key: Key) -> Option<&Server> {
         self.servers.get(key)
     }
 
-    /// The key of the server with this id.
+    /// Returns the key of the server with this id.
     pub fn find(&self, id: &str) -> Option<Key> {
         self.ids.get(id).copied()
     }
 
-    /// All servers, in the order of their ids.
+    /// Iterates over all servers, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &Server)> {
         self.ids.values().filter_map(|key| Some((*key, self.servers.get(*key)?)))
     }
 
-    /// The servers of `pool`, in the order of their ids.
+    /// Iterates over the servers of `pool`, ordered by id.
     pub fn pool<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = (Key, &'a Server)> {
         self.iter().filter(move |(_, server)| server.vm.pool == pool)
     }
 
-    /// All routers, by id.
+    /// Returns all routers by id.
     pub fn routers(&self) -> &BTreeMap<String, Vm> {
         &self.routers
     }
 
-    /// Takes over a new VM list.
+    /// Applies a new VM list and returns the changes.
     pub fn apply_vm_list(&mut self, vms: Vec<Vm>) -> Vec<Notice> {
         let mut notices = Vec::new();
         let listed: BTreeSet<&str> = vms.iter().map(|vm| vm.id.as_str()).collect();
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Notes that the server with this id is leaving, whether or not it is listed yet.
+    /// Marks the server with this id as draining, even if it is not listed yet.
     pub fn mark_draining_by_id(&mut self, id: &str) -> Option<Notice> {
         let key = self.find(id);
         if key.is_none() {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Notes that `key` is leaving, whoever said so.
+    /// Marks a server as draining.
     pub fn mark_draining(&mut self, key: Key) -> Option<Notice> {
         let server = self.servers.get_mut(key)?;
         if server.draining {
@@ -248,8 +248,8 @@
         Some(Notice::Draining(key))
     }
 
-    /// Takes over an engine's report. Its cache events are the caller's to fold, after the
-    /// notices returned here.
+    /// Applies an engine's report. The caller handles the returned notices first, and then the cache events
+    /// of the report.
     pub fn apply_report(&mut self, now: Time, key: Key, report: &Report) -> Vec<Notice> {
         let mut notices = Vec::new();
         let Some(server) = self.servers.get_mut(key) else {
@@ -267,7 +267,7 @@
         }
         server.incarnation = Some(report.incarnation.clone());
         if is_new_incarnation && report.from > 0 {
-            // Asked with the former incarnation's number: read the new one's events from 0.
+            // The poll used a sequence number of the previous incarnation. The next poll reads from 0.
             server.next_seq = 0;
         } else {
             let missing = count_missing_events(report);
@@ -291,21 +291,21 @@
         notices
     }
 
-    /// Notes that a poll of `key` failed.
+    /// Records a failed poll.
     pub fn record_poll_failure(&mut self, key: Key) -> Option<Notice> {
         let server = self.servers.get_mut(key)?;
         server.failed_polls = server.failed_polls.saturating_add(1);
         (server.failed_polls == UNREACHABLE_POLL_FAILURES).then_some(Notice::Unreachable(key))
     }
 
-    /// Notes that a poll of `key` ended that was sent at `at`.
+    /// Records the end of a poll that was sent at `sent_at`.
     pub fn record_poll_end(&mut self, key: Key, sent_at: Time) {
         if let Some(server) = self.servers.get_mut(key) {
             server.last_poll_sent_at = Some(sent_at);
         }
     }
 
-    /// Passes over `key` for a while: an attempt could not reach it.
+    /// Excludes a server from new requests for a while, after a failed connection.
     pub fn back_off(&mut self, now: Time, key: Key) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
@@ -316,7 +316,7 @@
         server.backoff_until = now + backoff;
     }
 
-    /// Ends the suspicion of `key`: an attempt succeeded.
+    /// Resets the number of failed connections after a successful attempt.
     pub fn reset_connect_failures(&mut self, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.connect_failures = 0;
@@ -324,8 +324,8 @@
     }
 }
 
-/// How many events between the number asked for and the newest are missing; events that do not
-/// belong there count as missing too.
+/// Counts the missing events between the requested sequence number and the newest. Events out of order
+/// or range count as missing too.
 fn count_missing_events(report: &Report) -> u64 {
     let expected = report.from..report.next_seq;
     let mut next = expected.start;
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! The table of servers under lists and reports in any order.
+//! Tests of the server table with VM lists and reports in any order.
 
 use quickcheck::quickcheck;
 
@@ -32,30 +32,29 @@
     let mut state = State::default();
     let added = state.apply_vm_list(vec![vm("a", Standing::Live), vm("b", Standing::Leaving)]);
     assert_eq!(added.len(), 3, "{added:?}");
-    let b = state.find("b").expect("it is listed");
+    let b = state.find("b").expect("the server is listed");
     assert!(state.get(b).is_some_and(|server| server.draining));
-    // A lagging list does not take leaving back, and a gone server's key finds nothing.
+    // An outdated list does not reset draining, and the key of a removed server finds nothing.
     assert_eq!(state.apply_vm_list(vec![vm("b", Standing::Live)]).len(), 1);
     assert!(state.get(b).is_some_and(|server| server.draining));
     state.apply_vm_list(Vec::new());
     assert!(state.get(b).is_none() && state.find("b").is_none());
 }
 
-/// The platform's list lags now and then. A server that was leaving was gone from one answer, and an older
-/// answer after that still had it as live: with its entry the router had forgotten that it leaves, and gave
-/// it new work.
+/// Guards against new requests to a draining server. The VM list may lag: the server is missing from one answer,
+/// and the next one is older and lists it as live. The router must remember that the removed server drained.
 #[test]
 fn apply_vm_list_older_after_removal_keeps_draining() {
     let mut state = State::default();
     state.apply_vm_list(vec![vm("a", Standing::Live), vm("b", Standing::Leaving)]);
     state.apply_vm_list(vec![vm("a", Standing::Live)]);
     state.apply_vm_list(vec![vm("a", Standing::Live), vm("b", Standing::Live)]);
-    let b = state.find("b").expect("it is listed");
+    let b = state.find("b").expect("the server is listed");
     assert!(state.get(b).is_some_and(|server| server.draining));
-    // One that was gone from a list and had not been leaving is in use again.
+    // A removed server that was not draining is in use again.
     state.apply_vm_list(vec![vm("b", Standing::Live)]);
     state.apply_vm_list(vec![vm("a", Standing::Live)]);
-    let a = state.find("a").expect("it is listed");
+    let a = state.find("a").expect("the server is listed");
     assert!(state.get(a).is_some_and(|server| !server.draining));
 }
 
@@ -63,7 +62,7 @@
 fn apply_report_detects_restart_and_gap() {
     let mut state = State::default();
     state.apply_vm_list(vec![vm("a", Standing::Live)]);
-    let a = state.find("a").expect("it is listed");
+    let a = state.find("a").expect("the server is listed");
     let cases = [
         (report("one", 0, 0..3, 3), vec![]),
         (report("one", 3, 3..3, 3), vec![]),
@@ -81,7 +80,7 @@
 fn apply_report_after_restart_requests_events_from_zero() {
     let mut state = State::default();
     state.apply_vm_list(vec![vm("a", Standing::Live)]);
-    let a = state.find("a").expect("it is listed");
+    let a = state.find("a").expect("the server is listed");
     state.apply_report(Time::ZERO, a, &report("one", 0, 0..7, 7));
     state.apply_report(Time::ZERO, a, &report("two", 7, 0..0, 2));
     assert_eq!(state.get(a).map(|server| server.next_seq), Some(0));
@@ -91,7 +90,7 @@
 fn back_off_expires_and_grows() {
     let mut state = State::default();
     state.apply_vm_list(vec![vm("a", Standing::Live)]);
-    let a = state.find("a").expect("it is listed");
+    let a = state.find("a").expect("the server is listed");
     state.apply_report(Time::ZERO, a, &report("one", 0, 0..0, 0));
     let usable = |state: &State, ms| {
         state.get(a).is_some_and(|server| server.is_usable(Duration::from_millis(ms)))
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -1,5 +1,5 @@
-//! Orders to engines: the weights versions that the manifest asks for are loaded, and those that it
-//! no longer names are unloaded where that is safe.
+//! Orders to engines, to load the weights versions in the manifest and to unload other versions where
+//! that is safe.
 
 mod plan;
 #[cfg(test)]
@@ -9,21 +9,21 @@
 
 pub use plan::{Assignment, Permissions, plan};
 
-/// One order to one engine.
+/// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number; engines that check it refuse a lower one than they have seen.
+    /// Fencing number. Engines that check it refuse a lower one than they have seen.
     pub fence: u64,
-    /// What to do.
+    /// Action to execute.
     #[serde(flatten)]
     pub action: Action,
 }
 
-/// What an engine is ordered to do. Both are convergent: done twice, they change nothing more.
+/// Action of an engine. All actions are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "kebab-case")]
 pub enum Action {
-    /// Load a weights version of a model, beside those that are loaded.
+    /// Load a weights version of a model, in addition to the loaded ones.
     Load {
         /// The model.
         model: String,
--- a/src/order/plan.rs
+++ b/src/order/plan.rs
@@ -1,33 +1,33 @@
-//! Which orders are due: a pure function of the manifest and of what engines report.
+//! Computes the orders that are due, as a pure function of the manifest and the reports of engines.
 
 use super::Action;
 use crate::manifest::Manifest;
 use crate::membership::{self, Role, State};
 use crate::prelude::*;
 
-/// Engines of one pool that load at a time: the weight store is rate-limited, and those that do
-/// not load go on serving.
+/// Maximum number of engines per pool that load at the same time. The weight store is rate-limited, and
+/// the other engines continue to serve requests.
 const MAX_LOADING_ENGINES: usize = 2;
 
-/// What the lease holder may do now.
+/// Kinds of orders that the lease holder may send now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permissions {
-    /// Whether engines that do not check fencing numbers may be ordered.
+    /// Whether orders to engines that do not check fencing numbers are allowed.
     pub allow_unfenced: bool,
-    /// Whether versions that the manifest no longer names may be unloaded.
+    /// Whether unloading versions that are not in the manifest is allowed.
     pub allow_unload: bool,
 }
 
-/// One order that is due.
+/// A due action and the engine that is to execute it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
     /// The engine.
     pub server: membership::Key,
-    /// What it is to do.
+    /// The action.
     pub action: Action,
 }
 
-/// The orders that are due, without those to engines in `busy`, which carry one out already.
+/// Returns the actions that are due, except for engines in `busy`, which already execute one.
 pub fn plan(
     manifest: &Manifest,
     membership: &State,
@@ -66,7 +66,7 @@
 
 type Versions<'a> = BTreeMap<(&'a str, &'a str), Option<&'a str>>;
 
-/// The versions that engines of `pool` are to have, with their adapters.
+/// Returns the versions that the manifest requires in `pool`, with their adapters.
 fn wanted_versions<'a>(manifest: &'a Manifest, pool: &str) -> Versions<'a> {
     let models = manifest.models.iter().filter(|(_, model)| model.pool == pool);
     models
--- a/src/order/tests.rs
+++ b/src/order/tests.rs
@@ -1,4 +1,4 @@
-//! Which orders are due.
+//! Tests of the due orders.
 
 use std::net::SocketAddr;
 
@@ -21,10 +21,10 @@
         },
         "workspaces": {},
     });
-    parse(text.to_string().as_bytes()).expect("it is sound")
+    parse(text.to_string().as_bytes()).expect("the manifest is valid")
 }
 
-/// Five engines that have these versions of the model.
+/// Creates five engines with these versions of the model loaded.
 fn engines(versions: &[&str]) -> (State, Vec<Key>) {
     let mut state = State::default();
     let vm = |index: usize| Vm {
@@ -77,7 +77,7 @@
     );
     let no_unload = Permissions { allow_unload: false, ..ALL_PERMISSIONS };
     assert_eq!(plan(&manifest(true), &state, &BTreeSet::new(), no_unload), []);
-    // An engine that ignores fencing numbers could be told so by a former holder, late.
+    // An engine that ignores fencing numbers could receive a delayed unload order of a former lease holder.
     assert_eq!(plan(&manifest(false), &state, &BTreeSet::new(), ALL_PERMISSIONS), []);
 }
 
