--- a/src/control/platform.rs
+++ b/src/control/platform.rs
@@ -115,7 +115,7 @@
             Verdict::Accepted(_) | Verdict::Confirmed => {
                 self.checkpoint.checkpoint_ms = Some(record.time_ms);
             }
-            Verdict::Known => {}
+            Verdict::Ignored => {}
             Verdict::Stale => {
                 let detail = Detail::of("offset", offset)
                     .and("reason", "replaces a generation that is not in force");
--- a/src/manifest/state.rs
+++ b/src/manifest/state.rs
@@ -51,7 +51,7 @@
     /// The record is a checkpoint of the manifest in force.
     Confirmed,
     /// The record was folded before, or is a checkpoint of an earlier generation.
-    Known,
+    Ignored,
     /// The record could not be decoded.
     Unreadable,
 }
@@ -93,7 +93,7 @@
     /// Folds the record at `offset`. Records before [`State::next`] are ignored.
     pub fn fold(&mut self, offset: u64, text: &str) -> Verdict {
         if offset < self.next {
-            return Verdict::Known;
+            return Verdict::Ignored;
         }
         self.next = offset + 1;
         let Some(record) = Record::decode(text) else {
@@ -116,7 +116,7 @@
             }
             Body::Checkpoint { generation, published, manifest } => {
                 match generation.cmp(&self.generation()) {
-                    Ordering::Less => Verdict::Known,
+                    Ordering::Less => Verdict::Ignored,
                     Ordering::Equal => Verdict::Confirmed,
                     Ordering::Greater => self.accept(generation, published, manifest),
                 }
