--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -25,7 +25,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-fn manifest_of(workspaces: usize) -> serde_json::Value {
+fn manifest_json(workspaces: usize) -> serde_json::Value {
     let workspace = |index: usize| {
         let entry = json!({
             "keys_sha256": [manifest::digest(&index.to_le_bytes())], "share": 1, "models": ["m"],
@@ -46,8 +46,8 @@
     })
 }
 
-fn publish(workspaces: usize) -> String {
-    let body = manifest::Body::Publish { replaces: 0, manifest: manifest_of(workspaces) };
+fn publish_record(workspaces: usize) -> String {
+    let body = manifest::Body::Publish { replaces: 0, manifest: manifest_json(workspaces) };
     manifest::Record { format: manifest::FORMAT, id: "bench".into(), body }.encode()
 }
 
@@ -67,7 +67,7 @@
 fn node(servers: usize) -> Node {
     let identity = Identity { id: "router-0".into(), incarnation: 1, zone: "zone-0".into() };
     let mut node = Node::new(identity, Policy::default());
-    let record = Record { offset: 0, time_ms: 0, text: publish(8) };
+    let record = Record { offset: 0, time_ms: 0, text: publish_record(8) };
     let read = Read { first: 0, next: 1, retention_s: 1_000_000, records: vec![record] };
     node.apply(Duration::ZERO, Message::Records(Stream::Manifest, read));
     let vm = |index: usize| Vm {
@@ -169,8 +169,8 @@
 #[divan::bench]
 fn take_one_report(bencher: Bencher) {
     let mut node = node(20);
-    let server = node.status(Duration::ZERO).servers.len();
-    assert_eq!(server, 20);
+    let servers = node.status(Duration::ZERO).servers.len();
+    assert_eq!(servers, 20);
     let key = slotmap::KeyData::from_ffi((1 << 32) | 1).into();
     let mut from = 0;
     bencher.bench_local(|| {
@@ -189,7 +189,7 @@
 /// Folds one manifest record with `workspaces` workspaces.
 #[divan::bench(args = [8, 52, 520])]
 fn fold_one_manifest(bencher: Bencher, workspaces: usize) {
-    let text = publish(workspaces);
+    let text = publish_record(workspaces);
     bencher.counter(divan::counter::BytesCount::new(text.len())).bench_local(|| {
         let mut state = manifest::State::default();
         state.fold(0, divan::black_box(&text))
@@ -200,7 +200,7 @@
 #[divan::bench(args = [8, 52, 520])]
 fn fold_one_change(bencher: Bencher, workspaces: usize) {
     let mut state = manifest::State::default();
-    state.fold(0, &publish(workspaces));
+    state.fold(0, &publish_record(workspaces));
     let mut share = 1;
     bencher.bench_local(|| {
         share = share % 1_000 + 1;
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -171,21 +171,21 @@
     pub fn explain(&mut self, now: Time, arrival: Arrival) -> Vec<CandidateStatus> {
         let request = arrival.request;
         self.requests.insert(request, Request::new(arrival, now, Phase::Waiting));
-        let scored = self.score_candidates(now, request, false);
+        let scores = self.score_candidates(now, request, false);
         self.requests.remove(&request);
-        scored.into_iter().map(|scored| self.candidate_status(scored)).collect()
+        scores.into_iter().map(|score| self.candidate_status(score)).collect()
     }
 
-    fn candidate_status(&self, scored: Score) -> CandidateStatus {
-        let server = self.membership.get(scored.key);
+    fn candidate_status(&self, score: Score) -> CandidateStatus {
+        let server = self.membership.get(score.key);
         CandidateStatus {
             server: server.map_or_else(String::new, |server| server.vm.id.clone()),
-            rank: scored.rank,
-            cached_tokens: scored.cached_tokens,
-            cache_confidence: self.residency.confidence(scored.key),
-            predicted_ms: scored.predicted_ms,
-            cost: scored.cost,
-            free: scored.free,
+            rank: score.rank,
+            cached_tokens: score.cached_tokens,
+            cache_confidence: self.residency.confidence(score.key),
+            predicted_ms: score.predicted_ms,
+            cost: score.cost,
+            free: score.free,
         }
     }
 
--- a/src/placement/heat.rs
+++ b/src/placement/heat.rs
@@ -16,8 +16,8 @@
 
 impl Rate {
     fn decayed(&self, now: Time) -> f64 {
-        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
-        self.per_s * (-passed / HALF_LIFE.as_secs_f64()).exp2()
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.per_s * (-elapsed / HALF_LIFE.as_secs_f64()).exp2()
     }
 }
 
@@ -30,9 +30,9 @@
 impl Heat {
     /// Records a request of `level` that takes `work_ms` of engine time.
     pub fn record(&mut self, now: Time, level: Key, work_ms: f64) {
-        let gain = work_ms * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
+        let added_per_s = work_ms * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         let rate = self.rates.entry(level).or_insert(Rate { per_s: 0.0, updated_at: now });
-        *rate = Rate { per_s: rate.decayed(now) + gain, updated_at: now };
+        *rate = Rate { per_s: rate.decayed(now) + added_per_s, updated_at: now };
         if self.rates.len() > MAX_LEVELS {
             self.evict_coldest(now);
         }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -93,14 +93,14 @@
     };
     wait(&mut servers, 1_000.0);
     assert_ne!(choose(query(&prefix), &servers)[0].key, holder);
-    let waste = Query { objective: Objective::WastedRecomputation, ..query(&prefix) };
+    let minimise_waste = Query { objective: Objective::WastedRecomputation, ..query(&prefix) };
     wait(&mut servers, 900.0);
     assert_ne!(choose(query(&prefix), &servers)[0].key, holder);
-    assert_eq!(choose(waste, &servers)[0].key, holder, "displacement costs more there");
+    assert_eq!(choose(minimise_waste, &servers)[0].key, holder, "displacement costs more there");
 }
 
 #[test]
-fn choose_import_rather_than_wait_or_compute() {
+fn choose_import_cheaper_than_wait_or_compute() {
     let prefix = prefix(1);
     let mut servers = candidates(4);
     servers[1].cached_blocks = 12;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn choose_free_only_leaves_full_out() {
+fn choose_free_only_omits_full_servers() {
     let prefix = prefix(1);
     let mut servers = candidates(2);
     servers[0].free = false;
@@ -145,12 +145,12 @@
 
 quickcheck! {
     /// Removing a server moves only the prefixes that were placed on it.
-    fn choose_moves_little(seed: u64, gone: u64) -> bool {
+    fn choose_server_removed_moves_only_its_prefixes(seed: u64, removed: u64) -> bool {
         let servers = candidates(10);
         let prefix = prefix(seed);
         let before = choose(query(&prefix), &servers)[0].key;
-        let gone = key(gone % 10);
-        let fewer: Vec<Candidate> = servers.into_iter().filter(|c| c.key != gone).collect();
-        before == gone || choose(query(&prefix), &fewer)[0].key == before
+        let removed = key(removed % 10);
+        let remaining: Vec<Candidate> = servers.into_iter().filter(|c| c.key != removed).collect();
+        before == removed || choose(query(&prefix), &remaining)[0].key == before
     }
 }
--- a/src/prefix/residency.rs
+++ b/src/prefix/residency.rs
@@ -54,10 +54,10 @@
 
     /// Records that `server` no longer holds `block`.
     pub fn remove(&mut self, server: membership::Key, block: Key) {
-        let Some(held) = self.blocks_by_server.get_mut(&server) else {
+        let Some(blocks) = self.blocks_by_server.get_mut(&server) else {
             return;
         };
-        if !held.remove(&block) {
+        if !blocks.remove(&block) {
             return;
         }
         self.entries -= 1;
@@ -72,8 +72,8 @@
 
     /// Drops all entries of `server`, after it restarted or left, or its events had a gap.
     pub fn clear(&mut self, server: membership::Key) {
-        let held = self.blocks_by_server.get(&server).cloned().unwrap_or_default();
-        for block in held {
+        let blocks = self.blocks_by_server.get(&server).cloned().unwrap_or_default();
+        for block in blocks {
             self.remove(server, block);
         }
         self.blocks_by_server.remove(&server);
@@ -86,8 +86,8 @@
     pub fn record_lost_events(&mut self, server: membership::Key, count: u64) {
         let lost = self.lost_events.entry(server).or_insert(0);
         *lost = lost.saturating_add(count);
-        let held = self.blocks_by_server.get(&server).map_or(0, BTreeSet::len) as u64;
-        if lost.saturating_mul(CLEAR_THRESHOLD_DIVISOR) >= held {
+        let entries = self.blocks_by_server.get(&server).map_or(0, BTreeSet::len) as u64;
+        if lost.saturating_mul(CLEAR_THRESHOLD_DIVISOR) >= entries {
             self.clear(server);
         }
     }
@@ -95,26 +95,26 @@
     /// Returns the confidence in the entries of `server`, from 0 to 1: the share of them that lost
     /// events can't have made wrong.
     pub fn confidence(&self, server: membership::Key) -> f64 {
-        let held = self.blocks_by_server.get(&server).map_or(0, BTreeSet::len) as f64;
+        let entries = self.blocks_by_server.get(&server).map_or(0, BTreeSet::len) as f64;
         let lost = self.lost_events.get(&server).copied().unwrap_or(0) as f64;
-        if held == 0.0 { 0.0 } else { (1.0 - lost / held).max(0.0) }
+        if entries == 0.0 { 0.0 } else { (1.0 - lost / entries).max(0.0) }
     }
 
-    /// Returns how many leading blocks of `blocks` each server holds, for servers with at least one.
+    /// Returns how many leading blocks of `blocks` each server holds, omitting servers with none.
     pub fn depth(&self, blocks: &[Key]) -> Depth {
         let mut depth = Depth::new();
         for (index, block) in blocks.iter().enumerate() {
             let Some(holders) = self.servers_by_block.get(block) else {
                 break;
             };
-            let mut reached = false;
+            let mut extended = false;
             for holder in holders {
                 if index == 0 || depth.get(holder) == Some(&index) {
                     depth.insert(*holder, index + 1);
-                    reached = true;
+                    extended = true;
                 }
             }
-            if !reached {
+            if !extended {
                 break;
             }
         }
--- a/src/prefix/tests.rs
+++ b/src/prefix/tests.rs
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn root_parts_do_not_run_together() {
+fn root_separates_parts() {
     let scope = |workspace, model| root(Scope { workspace, model, weights: "", adapter: "" });
     assert_ne!(scope("ab", "c"), scope("a", "bc"));
 }
 
 #[test]
-fn chain_depends_on_all_before() {
+fn chain_depends_on_previous_blocks() {
     let (one, two) = (
         [b"a".repeat(BLOCK_BYTES), b"z".repeat(BLOCK_BYTES)].concat(),
         b"z".repeat(2 * BLOCK_BYTES),
@@ -40,7 +40,7 @@
 }
 
 /// Compares residency with a model: a set of (server, block) pairs.
-fn agrees(steps: Vec<(u8, u8, u8)>) -> bool {
+fn matches_model(steps: Vec<(u8, u8, u8)>) -> bool {
     let mut residency = Residency::new(100);
     let mut model: BTreeSet<(u8, u64)> = BTreeSet::new();
     for (kind, holder, block) in steps {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn residency_outlives_few_lost_events_only() {
+fn residency_lost_events_clear_at_a_quarter() {
     let mut residency = Residency::new(100);
     for block in 0..40 {
         residency.insert(server(1), Key(block));
@@ -102,7 +102,7 @@
 
 quickcheck! {
     fn residency_agrees_with_model(steps: Vec<(u8, u8, u8)>) -> bool {
-        agrees(steps)
+        matches_model(steps)
     }
 
     fn chain_of_longer_prompt_extends(prompt: Vec<u8>, more: Vec<u8>) -> bool {
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -28,8 +28,8 @@
     (workspace, vec!["key-1".into()])
 }
 
-fn name(found: Lookup) -> Option<String> {
-    match found {
+fn name(lookup: Lookup) -> Option<String> {
+    match lookup {
         Lookup::Route(route, _) => Some(route.name.clone()),
         Lookup::NoRoute | Lookup::NoWorkspace => None,
     }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn find_key_decides() {
+fn find_key_selects_workspace() {
     let table = table(
         vec![route("open", "a.example", "/o/", true), route("kept", "a.example", "/k/", false)],
         vec![lab()],
@@ -66,8 +66,8 @@
 
 #[test]
 fn new_route_without_pool_refused() {
-    let mut bare = route("bare", "a.example", "/", true);
-    bare.splits.clear();
-    let made = Table::new(1, vec![bare], BTreeMap::new(), Vec::new(), Limits::default());
-    assert!(made.is_err());
+    let mut no_pool = route("bare", "a.example", "/", true);
+    no_pool.splits.clear();
+    let result = Table::new(1, vec![no_pool], BTreeMap::new(), Vec::new(), Limits::default());
+    assert!(result.is_err());
 }
