--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -136,8 +136,8 @@
         };
         Candidate {
             key,
-            hash: xxh3_64(server.vm.id.as_bytes()),
-            free,
+            id_hash: xxh3_64(server.vm.id.as_bytes()),
+            has_free_slot: free,
             wait_ms: queue_ms + slot_ms,
             token_ms,
             cached_blocks: depth.get(&key).copied().unwrap_or(0),
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -53,7 +53,7 @@
         let time_left = state.arrival.deadline.saturating_sub(state.arrived_at);
         let free_only = now >= state.arrived_at + time_left / HOLD_DEADLINE_DIVISOR;
         let scored = self.score_candidates(now, request, free_only);
-        let best = scored.first().filter(|scored| scored.free)?;
+        let best = scored.first().filter(|scored| scored.has_free_slot)?;
         Some(Placement {
             server: best.key,
             pending_tokens: best.work_tokens,
--- a/src/control/status.rs
+++ b/src/control/status.rs
@@ -185,7 +185,7 @@
             cache_confidence: self.residency.confidence(score.key),
             predicted_ms: score.predicted_ms,
             cost: score.cost,
-            free: score.free,
+            free: score.has_free_slot,
         }
     }
 
--- a/src/fleet/scheduling/serving.rs
+++ b/src/fleet/scheduling/serving.rs
@@ -192,13 +192,13 @@
         host: String::new(),
         path_prefix: String::new(),
         repeat: submission.repeat,
-        streams: submission.prompt.is_some(),
+        is_streaming: submission.prompt.is_some(),
         timeout: submission.time_left,
         target_latency: submission.target,
         priority: submission.priority,
         splits: vec![Split { pool: submission.pool.clone(), weight: 1 }],
         max_attempts: submission.max_attempts,
-        public: true,
+        is_public: true,
     };
     let arrival = Arrival {
         request,
--- a/src/fleet/tests/world.rs
+++ b/src/fleet/tests/world.rs
@@ -114,13 +114,13 @@
         host: "a.example".into(),
         path_prefix: "/".into(),
         repeat,
-        streams: pool == "engines",
+        is_streaming: pool == "engines",
         timeout: Duration::from_secs(5),
         target_latency: Duration::from_millis(600),
         priority: 1,
         splits: vec![Split { pool: pool.into(), weight: 1 }],
         max_attempts: attempts,
-        public: true,
+        is_public: true,
     })
 }
 
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -25,9 +25,9 @@
     /// Key of the server on this daemon.
     pub key: membership::Key,
     /// Hash of the server's id, equal on all daemons.
-    pub hash: u64,
+    pub id_hash: u64,
     /// Whether the server has a free slot for the request's priority.
-    pub free: bool,
+    pub has_free_slot: bool,
     /// Predicted milliseconds until the server begins the request's prefill.
     pub wait_ms: f64,
     /// Milliseconds to compute one prompt token.
@@ -75,7 +75,7 @@
     /// Predicted TTFT plus all charges, in milliseconds. Placement minimises it.
     pub cost: f64,
     /// Whether the server has a free slot.
-    pub free: bool,
+    pub has_free_slot: bool,
 }
 
 /// Scores the candidates and sorts them by ascending cost; the first is the choice. Equal costs are
@@ -95,7 +95,7 @@
     let mut scored: Vec<Score> = candidates
         .iter()
         .zip(&ranks)
-        .filter(|(candidate, _)| candidate.free || !query.free_only)
+        .filter(|(candidate, _)| candidate.has_free_slot || !query.free_only)
         .map(|(candidate, rank)| {
             let off_second_level_home =
                 second_level_uncached && second_home.is_some_and(|home| home != candidate.key);
@@ -148,7 +148,7 @@
         work_tokens: (work_ms / candidate.token_ms) as u32,
         predicted_ms,
         cost,
-        free: candidate.free,
+        has_free_slot: candidate.has_free_slot,
     }
 }
 
@@ -162,7 +162,7 @@
     let mut order: Vec<(u64, usize)> = candidates
         .iter()
         .enumerate()
-        .map(|(index, candidate)| (rendezvous_weight(seed, candidate.hash), index))
+        .map(|(index, candidate)| (rendezvous_weight(seed, candidate.id_hash), index))
         .collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
     let mut ranks = vec![0; candidates.len()];
@@ -183,7 +183,7 @@
         .iter()
         .zip(ranks)
         .filter(|(_, rank)| **rank < copies)
-        .max_by_key(|(candidate, _)| rendezvous_weight(level.0, candidate.hash))
+        .max_by_key(|(candidate, _)| rendezvous_weight(level.0, candidate.id_hash))
         .map(|(candidate, _)| candidate.key)
 }
 
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -17,8 +17,8 @@
     (0..count)
         .map(|number| Candidate {
             key: key(number),
-            hash: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            free: true,
+            id_hash: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            has_free_slot: true,
             wait_ms: 0.0,
             token_ms: 0.1,
             cached_blocks: 0,
@@ -123,8 +123,8 @@
 fn choose_free_only_omits_full_servers() {
     let prefix = prefix(1);
     let mut servers = candidates(2);
-    servers[0].free = false;
-    servers[1].free = false;
+    servers[0].has_free_slot = false;
+    servers[1].has_free_slot = false;
     assert!(choose(Query { free_only: true, ..query(&prefix) }, &servers).is_empty());
     assert_eq!(choose(query(&prefix), &servers).len(), 2);
 }
--- a/src/relay/passage.rs
+++ b/src/relay/passage.rs
@@ -228,7 +228,7 @@
                 self.finish_refused(dispatch, answer, refusal).await
             }
             Classification::Answer(weights)
-                if self.route.streams && answer.response.status == 200 =>
+                if self.route.is_streaming && answer.response.status == 200 =>
             {
                 self.relay_stream(writer, dispatch, answer, weights, events).await
             }
--- a/src/relay/tests/delivery.rs
+++ b/src/relay/tests/delivery.rs
@@ -61,13 +61,13 @@
         host: "a.example".into(),
         path_prefix: "/".into(),
         repeat: Repeat::Resumable,
-        streams,
+        is_streaming: streams,
         timeout: Duration::from_secs(20),
         target_latency: Duration::from_secs(1),
         priority: 0,
         splits: vec![Split { pool: "engines".into(), weight: 1 }],
         max_attempts: 2,
-        public: true,
+        is_public: true,
     };
     let table = Table::new(1, vec![route], BTreeMap::new(), Vec::new(), Limits::default());
     Arc::new(table.expect("the table is valid"))
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -46,7 +46,7 @@
     /// Rule for repeating requests.
     pub repeat: Repeat,
     /// Whether answers are event streams.
-    pub streams: bool,
+    pub is_streaming: bool,
     /// Maximum time from a request to its answer.
     pub timeout: Duration,
     /// Target latency of answers.
@@ -58,7 +58,7 @@
     /// Maximum number of backend servers to run one request on.
     pub max_attempts: u32,
     /// Whether requests without a key are accepted.
-    pub public: bool,
+    pub is_public: bool,
 }
 
 /// Properties that all engines of a pool share.
--- a/src/route/table.rs
+++ b/src/route/table.rs
@@ -125,7 +125,7 @@
             return Lookup::NoRoute;
         };
         let workspace = key.and_then(|key| self.workspaces_by_key.get(key)).cloned();
-        if workspace.is_none() && !route.public && !self.workspaces_by_key.is_empty() {
+        if workspace.is_none() && !route.is_public && !self.workspaces_by_key.is_empty() {
             return Lookup::NoWorkspace;
         }
         Lookup::Route(Arc::clone(route), workspace)
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 
-fn route(name: &str, host: &str, prefix: &str, public: bool) -> Route {
+fn route(name: &str, host: &str, prefix: &str, is_public: bool) -> Route {
     Route {
         name: name.into(),
         host: host.into(),
         path_prefix: prefix.into(),
         repeat: Repeat::Idempotent,
-        streams: false,
+        is_streaming: false,
         timeout: Duration::from_secs(2),
         target_latency: Duration::from_millis(100),
         priority: 1,
         splits: vec![Split { pool: "plain".into(), weight: 1 }],
         max_attempts: 2,
-        public,
+        is_public,
     }
 }
 
--- a/standin/src/replay/policy.rs
+++ b/standin/src/replay/policy.rs
@@ -119,8 +119,8 @@
         .iter()
         .map(|index| Candidate {
             key: KeyData::from_ffi((1 << 32) | *index as u64).into(),
-            hash: xxh3_64(&index.to_le_bytes()),
-            free: true,
+            id_hash: xxh3_64(&index.to_le_bytes()),
+            has_free_slot: true,
             wait_ms: engines[*index].wait_ms(job.priority),
             token_ms: TOKEN_US as f64 / 1_000.0,
             cached_blocks: engines[*index].cache.depth(&job.blocks),
