--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -10,8 +10,8 @@
 /// as a multiple of the time to compute it. It displaces a cached token that may be needed again.
 const DISPLACEMENT_FACTOR_WASTE: f64 = 8.0;
 const DISPLACEMENT_FACTOR_FIRST_TOKEN: f64 = 1.0;
-/// Charge for a server that is no home of the first level and holds none of it, as a fraction of
-/// the level's prefill time. A new copy displaces other blocks.
+/// Charge for a server that is not a home of the first level and holds none of it, as a fraction
+/// of the level's prefill time. A new copy displaces other blocks.
 const COPY_CHARGE_RATIO: f64 = 0.5;
 /// Charge for a server that is not the home of the second level while no server holds that level,
 /// as a fraction of the level's prefill time.
