--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -19,7 +19,7 @@
 pub enum Repeat {
     /// A request may run more than once.
     Idempotent,
-    /// A request runs at most once. The outcome of a failure after its first byte is unknown.
+    /// A request runs at most once. After its first byte was sent, a failure's outcome is unknown.
     AtMostOnce,
     /// The answer is a stream, which another server can continue after the last delivered event.
     Resumable,
