--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -19,7 +19,7 @@
 pub enum Repeat {
     /// A request may run more than once.
     Idempotent,
-    /// A request runs at most once. Once its first byte was sent, a failure has an unknown outcome.
+    /// A request runs at most once. After its first byte was sent, a failure's outcome is unknown.
     AtMostOnce,
     /// The answer is a stream, which another server can continue after the last delivered event.
     Resumable,
@@ -46,7 +46,7 @@
     /// Rule for repeating requests.
     pub repeat: Repeat,
     /// Whether answers are event streams.
-    pub streams: bool,
+    pub is_streaming: bool,
     /// Maximum time from a request to its answer.
     pub timeout: Duration,
     /// Target latency of answers.
@@ -58,7 +58,7 @@
     /// Maximum number of backend servers to run one request on.
     pub max_attempts: u32,
     /// Whether requests without a key are accepted.
-    pub public: bool,
+    pub is_public: bool,
 }
 
 /// Properties that all engines of a pool share.
