--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -238,7 +238,7 @@
             Message::VmListDown => self.vm_list_down(),
             Message::Polled(server, report) => self.polled(now, server, *report),
             Message::PollFailed(server) => self.poll_failed(now, server),
-            Message::Probed(victim, answer) => self.probed(now, victim, answer),
+            Message::Probed(incarnation, answer) => self.probed(now, incarnation, answer),
             Message::Frame(frame) => self.handle_frame(now, frame),
             Message::Stop => self.stop(now),
             Message::Tick => self.tick(now),
--- a/src/fleet/frame/mod.rs
+++ b/src/fleet/frame/mod.rs
@@ -120,10 +120,10 @@
                 wire::Body::Records(wire::Records { is_snapshot: true, ..batch.into() })
             }
             Self::Notice(notice) => {
-                let Notice { daemon, life, busy, parts } = notice;
+                let Notice { daemon, incarnation, busy, parts } = notice;
                 wire::Body::Notice(wire::Notice {
                     daemon,
-                    workload: Some((life, busy).into()),
+                    workload: Some((incarnation, busy).into()),
                     parts,
                 })
             }
@@ -159,8 +159,13 @@
                 let busy = notice
                     .workload
                     .ok_or_else(|| Malformed("the notice lacks a workload".into()))?;
-                let (life, busy) = busy.into();
-                Ok(Self::Notice(Notice { daemon: notice.daemon, life, busy, parts: notice.parts }))
+                let (incarnation, busy) = busy.into();
+                Ok(Self::Notice(Notice {
+                    daemon: notice.daemon,
+                    incarnation,
+                    busy,
+                    parts: notice.parts,
+                }))
             }
             Some(wire::Body::Residency(held)) => Ok(Self::Residency(held.try_into()?)),
             Some(wire::Body::FetchResidency(ask)) => {
@@ -195,9 +200,11 @@
 impl From<Holder> for wire::Holder {
     fn from(holder: Holder) -> Self {
         match holder {
-            Holder::Engine(life) => {
-                Self { server: life.id, born: life.started_ms, store_address: String::new() }
-            }
+            Holder::Engine(incarnation) => Self {
+                server: incarnation.id,
+                born: incarnation.started_ms,
+                store_address: String::new(),
+            },
             Holder::Store(address) => {
                 Self { server: String::new(), born: 0, store_address: address.to_string() }
             }
@@ -298,10 +305,10 @@
 }
 
 impl From<(Incarnation, Workload)> for wire::Workload {
-    fn from((life, workload): (Incarnation, Workload)) -> Self {
+    fn from((incarnation, workload): (Incarnation, Workload)) -> Self {
         Self {
-            server: life.id,
-            born: life.started_ms,
+            server: incarnation.id,
+            born: incarnation.started_ms,
             running: workload.running,
             pending_tokens: workload.pending_tokens,
             loading_weights: workload.loading_weights,
@@ -337,11 +344,8 @@
     fn from(digest: Digest) -> Self {
         let (blocked, blocked_ages_ms) = poison::blocks_to_wire(&digest.blocked);
         let workloads = digest.workloads.into_iter().map(wire::Workload::from);
-        let weights = digest.weights.into_iter().map(|(life, model, version)| wire::Weights {
-            server: life.id,
-            born: life.started_ms,
-            model,
-            version,
+        let weights = digest.weights.into_iter().map(|(incarnation, model, version)| {
+            wire::Weights { server: incarnation.id, born: incarnation.started_ms, model, version }
         });
         Self {
             daemon: digest.daemon,
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -194,7 +194,9 @@
             draining: self.draining,
             end_offsets: Topic::ALL.iter().map(|topic| self.catalog.end(*topic)).collect(),
             workloads: busy.collect(),
-            weights: seen.map(|(life, model, v, _)| (life.clone(), model.clone(), *v)).collect(),
+            weights: seen
+                .map(|(incarnation, model, v, _)| (incarnation.clone(), model.clone(), *v))
+                .collect(),
             hot_parts: Vec::new(),
             refused: self.expected.own(),
             link_bytes_moved: self.kv_link.moved_bytes(),
@@ -275,8 +277,8 @@
         if let Ok(address) = digest.address.parse() {
             self.register_peer(now, digest.daemon.clone(), address, digest.cores);
         }
-        for (life, model, version) in &digest.weights {
-            if let Some(key) = self.incarnations.server(life) {
+        for (incarnation, model, version) in &digest.weights {
+            if let Some(key) = self.incarnations.server(incarnation) {
                 self.note_weights(now, key, model, *version);
             }
         }
@@ -331,11 +333,11 @@
     }
 
     /// Sets a peer's current load at one server.
-    pub(super) fn set_peer_load(&mut self, daemon: &str, life: Incarnation, busy: Workload) {
+    pub(super) fn set_peer_load(&mut self, daemon: &str, incarnation: Incarnation, busy: Workload) {
         let Some(digest) = self.peers.get_mut(daemon).and_then(|peer| peer.digest.as_mut()) else {
             return;
         };
-        digest.workloads.insert(life, busy);
+        digest.workloads.insert(incarnation, busy);
         self.peer_loads_stale = true;
     }
 
@@ -354,8 +356,8 @@
         self.peer_loads.clear();
         for peer in self.peers.values().filter(|peer| peer.is_fresh(now)) {
             let (Some(digest), Some(heard_at)) = (&peer.digest, peer.heard_at) else { continue };
-            for (life, busy) in &digest.workloads {
-                if let Some(key) = self.incarnations.server(life) {
+            for (incarnation, busy) in &digest.workloads {
+                if let Some(key) = self.incarnations.server(incarnation) {
                     self.peer_loads.entry(key).or_default().add(heard_at, busy);
                 }
             }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -100,7 +100,7 @@
     /// Crashes, suspects and blocks.
     pub(super) poison: poison::State,
     /// Servers that may have crashed while they ran requests.
-    pub(super) crash_watch: poison::Detector,
+    pub(super) detector: poison::Detector,
     pub(super) next_block_expiry: Time,
     /// Recent work by shared part of prompts.
     pub(super) heat: Heat,
@@ -165,7 +165,7 @@
             quota: quota::State::new(policy.quota),
             quota_leadership: Leadership::default(),
             poison: poison::State::default(),
-            crash_watch: poison::Detector::default(),
+            detector: poison::Detector::default(),
             next_block_expiry: Time::ZERO,
             heat: Heat::default(),
             kv_store: StoreState::default(),
@@ -206,7 +206,7 @@
             Message::OrderEnded(server, end) => self.order_ended(now, server, end),
             Message::Polled(server, state) => self.polled(now, server, state),
             Message::Events(place, read) => self.handle_cache_events(now, place, read.as_ref()),
-            Message::Probed(victim, answer) => self.probed(now, victim, answer),
+            Message::Probed(incarnation, answer) => self.probed(now, incarnation, answer),
             Message::Frame(frame) => self.handle_frame(now, frame),
             Message::Stop => self.stop(now),
             Message::StopDeadline => self.finish_stop(now),
@@ -238,7 +238,7 @@
             || !self.awaiting_scheduler.is_empty()
             || !self.quota_leadership.undecided.is_empty()
             || self.rollout.is_active()
-            || self.crash_watch.has_probe_due()
+            || self.detector.has_probe_due()
     }
 
     /// The offset of the next lease record to read.
--- a/src/fleet/notice.rs
+++ b/src/fleet/notice.rs
@@ -22,7 +22,7 @@
     /// The daemon.
     pub daemon: String,
     /// The server.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The daemon's work at it.
     pub busy: Workload,
     /// Parts, by salted key, that the server begins to read or fetch.
@@ -39,7 +39,7 @@
         parts: Vec<u64>,
     ) {
         let Some(server) = self.servers.get(key).filter(|_| tokens >= LARGE_TOKENS) else { return };
-        let (life, busy) = (server.entry.incarnation.clone(), server.busy(now));
+        let (incarnation, busy) = (server.entry.incarnation.clone(), server.busy(now));
         if self.is_scheduler(now) {
             // Other daemons learn of this load soon enough, and place nothing on these servers.
             return;
@@ -51,7 +51,7 @@
         self.notice_allowance.refill(now, MAX_NOTICES_PER_S, MAX_NOTICES_PER_S);
         if self.notice_allowance.try_take(peers.len() as f64) {
             let daemon = self.identity.id.clone();
-            let notice = Notice { daemon, life, busy, parts };
+            let notice = Notice { daemon, incarnation, busy, parts };
             self.effects.push(Effect::Send(peers, Frame::Notice(notice)));
         }
     }
@@ -61,15 +61,15 @@
     /// Applies the current work of a peer at one server, which its next digest reports too. The
     /// parts that the server begins to read need not be read at another one.
     pub(super) fn apply_notice(&mut self, now: Time, notice: Notice) {
-        let Notice { daemon, life, busy, parts } = notice;
+        let Notice { daemon, incarnation, busy, parts } = notice;
         if let Some(server) =
-            self.incarnations.server(&life).and_then(|key| self.servers.get_mut(key))
+            self.incarnations.server(&incarnation).and_then(|key| self.servers.get_mut(key))
         {
             for part in parts {
                 server.residency.note_sent(now, part);
             }
         }
-        self.set_peer_load(&daemon, life, busy);
+        self.set_peer_load(&daemon, incarnation, busy);
     }
 }
 
--- a/src/fleet/poison.rs
+++ b/src/fleet/poison.rs
@@ -24,9 +24,9 @@
 
 impl Server {
     /// Its current incarnation under the id that all daemons use for crashes.
-    fn victim(&self) -> Incarnation {
-        let life = &self.entry.incarnation;
-        Incarnation::of(&life.id, Some(&life.started_ms.to_string()))
+    fn poison_incarnation(&self) -> Incarnation {
+        let incarnation = &self.entry.incarnation;
+        Incarnation::of(&incarnation.id, Some(&incarnation.started_ms.to_string()))
     }
 }
 
@@ -40,12 +40,12 @@
         }
         let pool = server.entry.pool.as_str();
         let suspect = Endpoint {
-            incarnation: server.victim(),
+            incarnation: server.poison_incarnation(),
             address: server.entry.address,
             pool: xxh3_64(pool.as_bytes()),
             servers: self.pools.get(pool).map_or(0, |keys| keys.len() as u32),
         };
-        let steps = self.crash_watch.record_disconnect(
+        let steps = self.detector.record_disconnect(
             now,
             suspect,
             Disconnect { fingerprint, run_time: ran },
@@ -54,29 +54,29 @@
     }
 
     /// Handles the result of a probe of a server's port.
-    pub(super) fn probed(&mut self, now: Time, victim: Incarnation, answer: Answer) {
-        let steps = self.crash_watch.record_probe(now, victim, answer);
+    pub(super) fn probed(&mut self, now: Time, incarnation: Incarnation, answer: Answer) {
+        let steps = self.detector.record_probe(now, incarnation, answer);
         self.apply_steps(now, steps);
     }
 
     /// Handles the removal of a server's registration, or a restart of the server.
     pub(super) fn registration_ended(&mut self, now: Time, server: &Server) {
         if !server.entry.draining {
-            let steps = self.crash_watch.record_crash(now, server.victim());
+            let steps = self.detector.record_crash(now, server.poison_incarnation());
             self.apply_steps(now, steps);
         }
     }
 
     /// Handles any answer of a server, as a sign that it runs.
     pub(super) fn server_answered(&mut self, now: Time, server: server::Key) {
-        if let Some(server) = self.servers.get(server).filter(|_| !self.crash_watch.is_idle()) {
-            self.crash_watch.record_response(now, server.victim());
+        if let Some(server) = self.servers.get(server).filter(|_| !self.detector.is_idle()) {
+            self.detector.record_response(now, server.poison_incarnation());
         }
     }
 
     fn apply_steps(&mut self, now: Time, steps: Steps) {
-        for Probe { incarnation: victim, address } in steps.probes {
-            self.effects.push(Effect::Probe(victim, address));
+        for Probe { incarnation, address } in steps.probes {
+            self.effects.push(Effect::Probe(incarnation, address));
         }
         if steps.interruptions.is_empty() {
             return;
@@ -96,8 +96,8 @@
         self.record_crashes(now, steps.interruptions);
     }
 
-    fn server_id(&self, victim: Incarnation) -> String {
-        let known = self.servers.values().find(|server| server.victim() == victim);
+    fn server_id(&self, incarnation: Incarnation) -> String {
+        let known = self.servers.values().find(|server| server.poison_incarnation() == incarnation);
         known.map_or_else(String::new, |server| server.entry.incarnation.id.clone())
     }
 
@@ -182,10 +182,8 @@
     /// Whether a request that was just lost may be the cause of crashes, including unconfirmed ones.
     pub(super) fn may_crash_servers(&self, now: Time, key: Key) -> bool {
         let Some(fingerprint) = self.fingerprint(key) else { return false };
-        self.poison.reaches_block_threshold(
-            fingerprint,
-            self.crash_watch.possible_crashes(now, fingerprint),
-        )
+        self.poison
+            .reaches_block_threshold(fingerprint, self.detector.possible_crashes(now, fingerprint))
     }
 
     fn fingerprint(&self, key: Key) -> Option<Fingerprint> {
@@ -219,8 +217,8 @@
 
     /// Probes servers that may have crashed, writes blocks to the store, and removes expired state.
     pub(super) fn maintain_blocks(&mut self, now: Time) {
-        for Probe { incarnation: victim, address } in self.crash_watch.due_probes(now) {
-            self.effects.push(Effect::Probe(victim, address));
+        for Probe { incarnation, address } in self.detector.due_probes(now) {
+            self.effects.push(Effect::Probe(incarnation, address));
         }
         if self.is_scheduler(now) {
             let delay = BLOCK_WRITE_STAGGER * self.rank_among_daemons();
--- a/src/fleet/records.rs
+++ b/src/fleet/records.rs
@@ -191,9 +191,9 @@
                 .and("address", entry.address)
                 .and("born", entry.incarnation.started_ms),
         );
-        let (life, pool) = (entry.incarnation.clone(), entry.pool.clone());
+        let (incarnation, pool) = (entry.incarnation.clone(), entry.pool.clone());
         let key = self.servers.insert(Server::new(entry));
-        self.incarnations.begin(&life, key);
+        self.incarnations.begin(&incarnation, key);
         self.pools.entry(pool).or_default().push(key);
         // What peers reported of this incarnation before it was known counts from now on.
         self.peer_loads_stale = true;
--- a/src/fleet/residency/reading.rs
+++ b/src/fleet/residency/reading.rs
@@ -190,7 +190,9 @@
 
     fn location_of(&self, holder: &Holder) -> Option<Location> {
         match holder {
-            Holder::Engine(life) => self.incarnations.server(life).map(Location::Engine),
+            Holder::Engine(incarnation) => {
+                self.incarnations.server(incarnation).map(Location::Engine)
+            }
             Holder::Store(address) => {
                 (self.holder_address(Location::Store) == Some(*address)).then_some(Location::Store)
             }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -103,13 +103,13 @@
             self.rollout.limiters.entry(pool).or_default().note_load(now, engines, took);
         }
         let Some(server) = self.servers.get(key) else { return };
-        let life = server.entry.incarnation.clone();
-        let detail = Detail::of("server", life.id.as_str())
+        let incarnation = server.entry.incarnation.clone();
+        let detail = Detail::of("server", incarnation.id.as_str())
             .and("model", model)
             .and("version", version)
             .and_some("took_ms", took);
         self.event(Event::WeightsLoaded, detail);
-        self.rollout.observed.push((life, model.to_owned(), version, now));
+        self.rollout.observed.push((incarnation, model.to_owned(), version, now));
         self.send_waiting(now);
     }
 
@@ -282,15 +282,15 @@
         let Some(server) = self.servers.get(key) else { return };
         // An engine that does not report its start is assumed to be the known one.
         let born = if state.born == 0 { server.entry.incarnation.started_ms } else { state.born };
-        let life = Incarnation::new(server.entry.incarnation.id.as_str(), born);
-        match self.incarnations.find(&life) {
+        let incarnation = Incarnation::new(server.entry.incarnation.id.as_str(), born);
+        match self.incarnations.find(&incarnation) {
             Known::Same(_) | Known::New => {}
             // The engine has restarted, and its registration does not show it yet.
             Known::Next(_) => {
                 let State { sequence, weights, .. } = state;
-                // The previous life may have been leaving.
+                // The previous incarnation may have been draining.
                 let entry = Entry {
-                    incarnation: life,
+                    incarnation,
                     sequence,
                     weights,
                     draining: false,
--- a/src/fleet/tests/frames.rs
+++ b/src/fleet/tests/frames.rs
@@ -50,7 +50,7 @@
         Frame::Fetch("router-1".into(), Topic::Operator, 8),
         Frame::Notice(Notice {
             daemon: "router-1".into(),
-            life: Incarnation::new("server-1", 4),
+            incarnation: Incarnation::new("server-1", 4),
             busy: Workload { running: 2, ..Workload::default() },
             parts: vec![7, u64::MAX],
         }),
--- a/src/fleet/tests/residency.rs
+++ b/src/fleet/tests/residency.rs
@@ -333,7 +333,7 @@
         })
     };
     let (peer_count, placed) = notice(&effects).expect("a notice goes to the schedulers");
-    assert_eq!((peer_count, placed.life.id), (3, sent.server));
+    assert_eq!((peer_count, placed.incarnation.id), (3, sent.server));
     assert!(placed.busy.pending_tokens > 0 && !placed.parts.is_empty());
     let effects = daemons[at].report(ms(4_300), request, 1, Report::Begun(Some(1)));
     assert_eq!(
