--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 
 use super::answer::{encode_answer, encode_error};
-use super::passage::{Delivery, Outcome, Progress};
+use super::delivery::{Delivery, Outcome, Progress};
 use super::{Conn, Cut, Dialect, Fields, Metadata, Pool, Request};
 use crate::fleet::Control;
 use crate::prelude::*;
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -8,12 +8,12 @@
 mod body;
 mod caller;
 mod conn;
+mod delivery;
 mod dialect;
 mod drain;
 mod events;
 mod exchange;
 mod head;
-mod passage;
 mod pool;
 #[cfg(test)]
 mod tests;
